--- a/limiter-core/src/admission/mod.rs
+++ b/limiter-core/src/admission/mod.rs
@@ -1,10 +1,11 @@
 //! CASA: admission by slots with feedback ("Classification-based Adjusted Slot Admission Control").
 
 mod cost_classes;
-pub(crate) mod state;
+mod state;
 
 use crate::event::Millis;
-use state::{Admission, INITIAL_SLOT_LIMIT, MIN_SMOOTHING_MS};
+pub(crate) use state::Admission;
+use state::{INITIAL_SLOT_LIMIT, MIN_SMOOTHING_MS};
 
 /// Least slots a server over all limiters: with a lower limit too little completes for it to grow again.
 const MIN_SLOTS_PER_SERVER: f64 = 6.0;
--- a/limiter-core/src/dispatch.rs
+++ b/limiter-core/src/dispatch.rs
@@ -4,7 +4,7 @@
 use crate::event::{Action, Event, Millis, TimerToken};
 use crate::limiter::Limiter;
 use crate::quota::GRANT_VALIDITY_MS;
-use crate::request::records::{AttemptEnd, AttemptKey};
+use crate::request::{AttemptEnd, AttemptKey};
 use crate::settings::Plan;
 
 /// Longest wait at the start for ceilings to fill.
@@ -80,7 +80,7 @@
         self.last_step_at = self.context.now;
         self.admission.adapt_smoothing(self.context.now);
         self.endpoints.update_slow_start(&self.context);
-        self.poll_departures(out);
+        self.poll_peers_for_tombstones(out);
         let (now, limiters) = (self.context.now, self.context.settings.limiters);
         self.admission.step_feedback(now, self.endpoints.len(), limiters);
         self.drain_queue(out);
--- a/limiter-core/src/endpoints/mod.rs
+++ b/limiter-core/src/endpoints/mod.rs
@@ -1,10 +1,13 @@
 //! The announced servers: which one gets a request, which are ejected, and which warm up.
 
-pub(crate) mod departure_log;
-mod discovery;
+mod announcements;
 mod outlier;
+mod registry;
 mod routing;
 mod slow_start;
 mod start_times;
-pub(crate) mod table;
 mod throughput;
+mod tombstones;
+
+pub(crate) use registry::{AttemptTarget, Endpoints};
+pub(crate) use tombstones::Tombstones;
--- a/limiter-core/src/endpoints/table.rs
+++ b/limiter-core/src/endpoints/registry.rs
@@ -8,7 +8,7 @@
 use crate::context::Context;
 use crate::event::{Ejection, Endpoint, EndpointState, Millis, Outcome, ServerId};
 use crate::hashing::endpoint_hash;
-use crate::request::records::{AttemptRecord, RecordId, ServerLocation};
+use crate::request::{AttemptRecord, RecordId, ServerLocation};
 use crate::settings::Settings;
 
 /// Weight of the newest latency in the baseline of all servers.
--- a/limiter-core/src/endpoints/routing.rs
+++ b/limiter-core/src/endpoints/routing.rs
@@ -1,9 +1,9 @@
 //! The choice of a server for a request: subsets, predicted latency, zones, deduplication scopes.
 
-use super::table::{EndpointRecord, Endpoints};
+use super::registry::{EndpointRecord, Endpoints};
 use crate::context::Context;
 use crate::event::{EndpointState, Millis, ServerId};
-use crate::request::records::PendingRequest;
+use crate::request::PendingRequest;
 use crate::settings::{DedupScope, Idempotency, Settings};
 
 /// Limiters that use one warm server: few, so that each soon learns which are slow.
--- a/limiter-core/src/endpoints/throughput.rs
+++ b/limiter-core/src/endpoints/throughput.rs
@@ -1,8 +1,8 @@
 //! What warm servers complete, the guide for those that warm up, and the upkeep of slow starts.
 
 use super::outlier::RESPONSE_SPAN_MS;
+use super::registry::Endpoints;
 use super::slow_start::limiters_per_member;
-use super::table::Endpoints;
 use crate::context::Context;
 use crate::event::Millis;
 use crate::settings::Settings;
--- a/limiter-core/src/endpoints/departure_log.rs
+++ b/limiter-core/src/endpoints/tombstones.rs
@@ -6,36 +6,36 @@
 
 /// A server that drains or is gone.
 #[derive(Debug)]
-struct Departure {
+struct Tombstone {
     heard_at: Millis,
     fingerprint: u32,
 }
 
-/// Milliseconds for which a departure is reported: longer than an outage of discovery lasts, in which
+/// Milliseconds for which a tombstone is reported: longer than an outage of discovery lasts, in which
 /// limiters may start.
 const RETENTION_MS: Millis = 300_000.0;
-/// Departures of one message.
-pub(super) const DEPARTURES_PER_MESSAGE: usize = 48;
-/// Most departures that are remembered and reported, eight messages: all servers of a usual fleet, and of the
+/// Tombstones of one message.
+pub(super) const TOMBSTONES_PER_MESSAGE: usize = 48;
+/// Most tombstones that are remembered and reported, eight messages: all servers of a usual fleet, and of the
 /// largest ones those that departed last. More messages would keep those on quotas waiting.
-const MAX_DEPARTURES: usize = 8 * DEPARTURES_PER_MESSAGE;
+const MAX_TOMBSTONES: usize = 8 * TOMBSTONES_PER_MESSAGE;
 
-/// Recent departures, the newest last, and the state of the polls.
+/// Recent tombstones, the newest last, and the state of the polls.
 #[derive(Debug)]
-pub(crate) struct Departures {
+pub(crate) struct Tombstones {
     /// Discovery does not answer.
     pub discovery_lost: bool,
-    /// When a peer was last asked for departures.
+    /// When a peer was last asked for tombstones.
     pub(super) last_poll_at: Millis,
-    recent: VecDeque<Departure>,
+    recent: VecDeque<Tombstone>,
     /// Those of `recent`.
     fingerprints: HashSet<u32>,
 }
 
-impl Departures {
-    /// No departure yet.
+impl Tombstones {
+    /// No tombstone yet.
     pub fn new() -> Self {
-        Departures {
+        Tombstones {
             discovery_lost: false,
             last_poll_at: f64::NEG_INFINITY,
             recent: VecDeque::new(),
@@ -43,29 +43,29 @@
         }
     }
 
-    /// Remembers a departure, once.
+    /// Remembers a tombstone, once.
     pub fn record(&mut self, now: Millis, fingerprint: u32) {
         self.expire(now);
         if !self.fingerprints.insert(fingerprint) {
             return;
         }
-        self.recent.push_back(Departure { heard_at: now, fingerprint });
-        if self.recent.len() > MAX_DEPARTURES {
+        self.recent.push_back(Tombstone { heard_at: now, fingerprint });
+        if self.recent.len() > MAX_TOMBSTONES {
             self.forget_oldest();
         }
     }
 
-    /// Forgets the departure of a server that takes requests again.
+    /// Forgets the tombstone of a server that takes requests again.
     pub fn forget(&mut self, fingerprint: u32) {
         if self.fingerprints.remove(&fingerprint) {
-            self.recent.retain(|departure| departure.fingerprint != fingerprint);
+            self.recent.retain(|tombstone| tombstone.fingerprint != fingerprint);
         }
     }
 
     /// Fingerprints of the servers that have departed recently.
     pub fn recent(&mut self, now: Millis) -> Vec<u32> {
         self.expire(now);
-        self.recent.iter().map(|departure| departure.fingerprint).collect()
+        self.recent.iter().map(|tombstone| tombstone.fingerprint).collect()
     }
 
     fn expire(&mut self, now: Millis) {
--- a/limiter-core/src/gossip/codec.rs
+++ b/limiter-core/src/gossip/codec.rs
@@ -25,8 +25,8 @@
     pub const NOT_GRANTED: u8 = 3;
     pub const SETTLEMENT: u8 = 4;
     pub const UNITS_SPENT: u8 = 5;
-    pub const DEPARTURES_POLL: u8 = 6;
-    pub const DEPARTED: u8 = 7;
+    pub const TOMBSTONE_POLL: u8 = 6;
+    pub const TOMBSTONE: u8 = 7;
 }
 
 /// A value of fixed length, big endian.
@@ -154,9 +154,9 @@
     /// To an owner.
     Settlement(Settlement),
     /// To anyone, from a limiter that discovery does not answer: which servers have departed?
-    DeparturesPoll,
+    TombstonePoll,
     /// The answer: a server that drains or is gone, by the fingerprint of its start.
-    Departed(u32),
+    Tombstone(u32),
 }
 
 impl GossipLine {
@@ -174,9 +174,9 @@
                 body.push(kind::SETTLEMENT);
                 settlement.write(body);
             }
-            GossipLine::DeparturesPoll => body.push(kind::DEPARTURES_POLL),
-            GossipLine::Departed(fingerprint) => {
-                body.push(kind::DEPARTED);
+            GossipLine::TombstonePoll => body.push(kind::TOMBSTONE_POLL),
+            GossipLine::Tombstone(fingerprint) => {
+                body.push(kind::TOMBSTONE);
                 fingerprint.write(body);
             }
         }
@@ -189,8 +189,8 @@
             kind::GRANTED => GossipLine::GrantReply(GrantReply::read(rest, true)?),
             kind::NOT_GRANTED => GossipLine::GrantReply(GrantReply::read(rest, false)?),
             kind::SETTLEMENT => GossipLine::Settlement(Settlement::read(rest)?),
-            kind::DEPARTURES_POLL => GossipLine::DeparturesPoll,
-            kind::DEPARTED => GossipLine::Departed(u32::read(rest)?),
+            kind::TOMBSTONE_POLL => GossipLine::TombstonePoll,
+            kind::TOMBSTONE => GossipLine::Tombstone(u32::read(rest)?),
             _ => return None,
         };
         Some(line)
@@ -202,8 +202,8 @@
             GossipLine::QuotaRequest(_) => QuotaRequest::BYTES,
             GossipLine::GrantReply(_) => GrantReply::BYTES,
             GossipLine::Settlement(_) => Settlement::BYTES,
-            GossipLine::DeparturesPoll => 0,
-            GossipLine::Departed(_) => u32::BYTES,
+            GossipLine::TombstonePoll => 0,
+            GossipLine::Tombstone(_) => u32::BYTES,
         };
         u8::BYTES + fields
     }
--- a/limiter-core/src/gossip/delivery.rs
+++ b/limiter-core/src/gossip/delivery.rs
@@ -5,8 +5,8 @@
 use crate::context::Context;
 use crate::event::{Action, Millis, TimerToken};
 use crate::limiter::Limiter;
-use crate::quota::records::GrantKey;
-use crate::request::records::RequestTable;
+use crate::quota::GrantKey;
+use crate::request::RequestTable;
 
 /// Fraction of the receivers' message allowance that this limiter sends.
 const ALLOWANCE_FRACTION: f64 = 0.8;
@@ -44,7 +44,7 @@
     /// message.
     pub(crate) fn send_gossip(&mut self, to: u32, line: GossipLine, out: &mut Vec<Action>) {
         if let (true, GossipLine::Settlement(settlement)) = (to == self.context.settings.position, line) {
-            let key = GrantKey::own(&self.context, settlement.id);
+            let key = GrantKey::local(&self.context, settlement.id);
             return self.owned_quotas.settle(&self.context, key, settlement);
         }
         self.gossip.push(self.context.now, to, line);
@@ -111,9 +111,9 @@
             GossipLine::Settlement(settlement) => {
                 self.owned_quotas.settle(&self.context, key(settlement.id), settlement);
             }
-            GossipLine::DeparturesPoll => self.report_departures(from, out),
-            GossipLine::Departed(fingerprint) if self.departures.discovery_lost => {
-                self.on_departure(fingerprint);
+            GossipLine::TombstonePoll => self.send_tombstones(from, out),
+            GossipLine::Tombstone(fingerprint) if self.tombstones.discovery_lost => {
+                self.on_tombstone(fingerprint);
             }
             _ => {}
         }
--- a/limiter-core/src/gossip/mod.rs
+++ b/limiter-core/src/gossip/mod.rs
@@ -1,5 +1,8 @@
 //! Gossip between limiters: what a message looks like, and which are sent when.
 
-pub(crate) mod codec;
+mod codec;
 mod delivery;
-pub(crate) mod queue;
+mod queue;
+
+pub(crate) use codec::{GossipLine, GrantReply, QuotaRequest, Settlement};
+pub(crate) use queue::GossipQueue;
--- a/limiter-core/src/limiter.rs
+++ b/limiter-core/src/limiter.rs
@@ -1,14 +1,14 @@
 //! The limiter: owns the parts that decide. `dispatch` routes events to them.
 
-use crate::admission::state::Admission;
+use crate::admission::Admission;
 use crate::context::Context;
-use crate::endpoints::departure_log::Departures;
-use crate::endpoints::table::Endpoints;
+use crate::endpoints::Endpoints;
+use crate::endpoints::Tombstones;
 use crate::event::{Millis, TimerToken};
-use crate::gossip::queue::GossipQueue;
-use crate::quota::member_state::MemberQuotas;
-use crate::quota::owner_state::OwnedQuotas;
-use crate::request::records::{RequestTable, RetryBudget};
+use crate::gossip::GossipQueue;
+use crate::quota::MemberQuotas;
+use crate::quota::OwnedQuotas;
+use crate::request::{RequestTable, RetryBudget};
 use crate::settings::{Settings, SettingsError};
 
 /// The decisions of one limiter. Deterministic: the same seed, events and times give the same actions.
@@ -22,7 +22,7 @@
     pub(crate) owned_quotas: OwnedQuotas,
     pub(crate) gossip: GossipQueue,
     pub(crate) endpoints: Endpoints,
-    pub(crate) departures: Departures,
+    pub(crate) tombstones: Tombstones,
     /// When the last response has to be given; infinite before the shutdown.
     pub(crate) shutdown_deadline: Millis,
     /// A peer has been heard that serves requests.
@@ -66,7 +66,7 @@
             owned_quotas: OwnedQuotas::default(),
             gossip: GossipQueue::new(now),
             endpoints: Endpoints::default(),
-            departures: Departures::new(),
+            tombstones: Tombstones::new(),
             shutdown_deadline: f64::INFINITY,
             has_serving_peer: false,
             resumed_at: f64::NEG_INFINITY,
--- a/limiter-core/src/quota/member.rs
+++ b/limiter-core/src/quota/member.rs
@@ -6,9 +6,9 @@
 use super::records::{GrantKey, MemberRange, QuotaKey};
 use crate::context::Context;
 use crate::event::{Action, Millis, Request, RequestId, TimerToken};
-use crate::gossip::codec::{GossipLine, GrantReply, QuotaRequest};
+use crate::gossip::{GossipLine, GrantReply, QuotaRequest};
 use crate::limiter::Limiter;
-use crate::request::records::{AwaitedReply, PendingRequest};
+use crate::request::{AwaitedReply, PendingRequest};
 
 /// Fraction of the quota's bucket that must be left, as far as a member knows, to spend without asking.
 const MIN_OWNER_TOKENS_FRACTION: f64 = 0.5;
@@ -118,7 +118,7 @@
         };
         let covered = self.member_quotas.even_share_covers(&self.context, &request);
         let quota_request = self.member_quotas.quota_request(&request);
-        let key = GrantKey::own(&self.context, id);
+        let key = GrantKey::local(&self.context, id);
         let mut decide_here = || self.owned_quotas.decide(&self.context, key, &quota_request);
         if !covered || (has_ceiling && !decide_here().is_some_and(|reply| reply.granted)) {
             // Not granted here: if the first owner is silent, this limiter is asked again as the next one.
@@ -146,14 +146,14 @@
             };
             let quota_request = self.member_quotas.quota_request(request);
             if owner == self.context.settings.position {
-                let key = GrantKey::own(&self.context, id);
+                let key = GrantKey::local(&self.context, id);
                 if let Some(reply) = self.owned_quotas.decide(&self.context, key, &quota_request) {
                     return self.on_grant_reply(owner, &reply, out);
                 }
             } else if self.context.settings.can_gossip && !self.member_quotas.is_silent(owner, now) {
                 return self.send_quota_request(owner, quota_request, out);
             }
-            self.requests.update(id, PendingRequest::pass_over_owner);
+            self.requests.update(id, PendingRequest::skip_owner);
         }
     }
 
@@ -189,7 +189,7 @@
         self.requests.update(id, |pending| {
             pending.awaited_reply = None;
             if pending.quota_requests >= REQUESTS_PER_OWNER {
-                pending.pass_over_owner();
+                pending.skip_owner();
             }
         });
         self.request_grant(id, out);
--- a/limiter-core/src/quota/member_state.rs
+++ b/limiter-core/src/quota/member_state.rs
@@ -5,7 +5,7 @@
 use super::records::QuotaKey;
 use crate::decay::DecayingMean;
 use crate::event::{Millis, Request};
-use crate::gossip::codec::{GrantReply, QuotaRequest};
+use crate::gossip::{GrantReply, QuotaRequest};
 use crate::settings::Plan;
 use crate::token_bucket::TokenBucket;
 
--- a/limiter-core/src/quota/owner.rs
+++ b/limiter-core/src/quota/owner.rs
@@ -5,7 +5,7 @@
 use super::records::{GrantKey, QuotaKey};
 use crate::context::Context;
 use crate::event::Millis;
-use crate::gossip::codec::{GrantReply, QuotaRequest, Settlement};
+use crate::gossip::{GrantReply, QuotaRequest, Settlement};
 use crate::settings::{Plan, Settings};
 
 /// Fraction of the quota that the other owners grant: the first one may be cut off from some members only.
--- a/limiter-core/src/quota/records.rs
+++ b/limiter-core/src/quota/records.rs
@@ -2,7 +2,7 @@
 
 use crate::context::Context;
 use crate::event::{CustomerId, Request, RequestId};
-use crate::gossip::codec::{GrantReply, QuotaRequest};
+use crate::gossip::{GrantReply, QuotaRequest};
 
 /// Whose quota it is: a customer on another plan, or an id that was given to another customer since, has a
 /// quota of its own.
@@ -50,7 +50,7 @@
 
 impl GrantKey {
     /// A request of this limiter's own.
-    pub(crate) fn own(context: &Context, request: RequestId) -> Self {
+    pub(crate) fn local(context: &Context, request: RequestId) -> Self {
         GrantKey { member: context.settings.position, incarnation: context.incarnation, request }
     }
 }
--- a/limiter-core/src/request/mod.rs
+++ b/limiter-core/src/request/mod.rs
@@ -1,16 +1,20 @@
 //! The life of a request: admitted by its quota, queued for slots and a server, attempted, retried, finished.
 
-pub(crate) mod records;
+mod records;
 
 use crate::context::Context;
-use crate::endpoints::table::AttemptTarget;
+use crate::endpoints::AttemptTarget;
 use crate::event::{Action, Millis, Outcome, Request, RequestId, ServerId, TimerToken};
-use crate::gossip::codec::{GossipLine, Settlement};
+use crate::gossip::{GossipLine, Settlement};
 use crate::limiter::Limiter;
 use crate::quota::GRANT_VALIDITY_MS;
-use crate::rules::{self, AttemptFacts, RepeatFacts};
+use crate::rules::{self, AttemptFacts, ExecutionFacts};
 use crate::settings::Idempotency;
-use records::{AttemptEnd, AttemptRecord, PendingRequest, PossibleExecution};
+use records::PossibleExecution;
+pub(crate) use records::{
+    AttemptEnd, AttemptKey, AttemptRecord, AwaitedReply, PendingRequest, RecordId, RequestTable, RetryBudget,
+    ServerLocation,
+};
 
 /// Fraction of the latency objective for which an admitted request may wait for slots or a server.
 const MAX_QUEUE_FRACTION: f64 = 0.25;
@@ -39,8 +43,8 @@
         rules::may_attempt(&facts).is_ok()
     }
 
-    fn repeat_facts(&self, context: &Context) -> RepeatFacts {
-        RepeatFacts {
+    fn repeat_facts(&self, context: &Context) -> ExecutionFacts {
+        ExecutionFacts {
             idempotency: context.class(&self.request).idempotency,
             may_have_executed: self.possible_execution.is_some(),
             dedup_ends_in_ms: self.dedup_ends_in_ms(context),
--- a/limiter-core/src/request/records.rs
+++ b/limiter-core/src/request/records.rs
@@ -123,7 +123,7 @@
     }
 
     /// Goes on to the next owner of its quota.
-    pub fn pass_over_owner(&mut self) {
+    pub fn skip_owner(&mut self) {
         self.owner_rank += 1;
         self.quota_requests = 0;
     }
--- a/limiter-core/src/rules.rs
+++ b/limiter-core/src/rules.rs
@@ -23,7 +23,7 @@
 const MIN_SILENCE_BEFORE_EVICTION_MS: Millis = 100.0;
 /// A connection to a server is used again only after this time, in milliseconds: what a server writes right
 /// behind a response has arrived by then, and shows that the connection is of no further use.
-const QUARANTINE_MS: Millis = 10.0;
+const CONNECTION_REUSE_DELAY_MS: Millis = 10.0;
 /// Left to the connections accepted last for their requests to be read, in milliseconds.
 const LAST_ACCEPTED_READ_MS: Millis = 50.0;
 /// Nothing is waited for any longer than this after the signal to stop, in milliseconds.
@@ -31,7 +31,7 @@
 
 /// Why an attempt may not be made.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-pub enum AttemptRefusal {
+pub enum AttemptDenied {
     /// The request has its final response, or its client has gone.
     #[error("the request is not pending")]
     NotPending,
@@ -63,7 +63,7 @@
 
 /// What is known of a request that is to be attempted.
 #[derive(Debug, Clone, Copy)]
-pub struct RepeatFacts {
+pub struct ExecutionFacts {
     /// Whether its class may be executed more than once.
     pub idempotency: Idempotency,
     /// An attempt may have been executed.
@@ -76,11 +76,11 @@
 /// Whether executing a request now could have its effect twice.
 ///
 /// # Errors
-/// [`AttemptRefusal::MayHaveExecuted`] or [`AttemptRefusal::DedupWindowOver`].
-pub fn may_execute(facts: RepeatFacts) -> Result<(), AttemptRefusal> {
+/// [`AttemptDenied::MayHaveExecuted`] or [`AttemptDenied::DedupWindowOver`].
+pub fn may_execute(facts: ExecutionFacts) -> Result<(), AttemptDenied> {
     match facts.idempotency {
-        Idempotency::NonIdempotent if facts.may_have_executed => Err(AttemptRefusal::MayHaveExecuted),
-        Idempotency::WithKey if facts.dedup_ends_in_ms <= 0.0 => Err(AttemptRefusal::DedupWindowOver),
+        Idempotency::NonIdempotent if facts.may_have_executed => Err(AttemptDenied::MayHaveExecuted),
+        Idempotency::WithKey if facts.dedup_ends_in_ms <= 0.0 => Err(AttemptDenied::DedupWindowOver),
         _ => Ok(()),
     }
 }
@@ -101,28 +101,28 @@
     /// Its latency objective has passed, and a later response has no value.
     pub has_no_value: bool,
     /// Whether it may be executed now.
-    pub repeat: RepeatFacts,
+    pub repeat: ExecutionFacts,
 }
 
 /// Whether a server may be chosen for a request now, for its first attempt or a further one.
 ///
 /// # Errors
 /// The first reason against it.
-pub fn may_attempt(facts: &AttemptFacts) -> Result<(), AttemptRefusal> {
+pub fn may_attempt(facts: &AttemptFacts) -> Result<(), AttemptDenied> {
     if facts.has_attempt_in_flight {
-        return Err(AttemptRefusal::AnotherInFlight);
+        return Err(AttemptDenied::AnotherInFlight);
     }
     if facts.is_streaming {
-        return Err(AttemptRefusal::ResponseBegun);
+        return Err(AttemptDenied::ResponseBegun);
     }
     if facts.has_no_value {
-        return Err(AttemptRefusal::NoValueLeft);
+        return Err(AttemptDenied::NoValueLeft);
     }
     if facts.attempts >= facts.max_attempts {
-        return Err(AttemptRefusal::AttemptsExhausted);
+        return Err(AttemptDenied::AttemptsExhausted);
     }
     if facts.deadline_in_ms <= 0.0 {
-        return Err(AttemptRefusal::DeadlinePassed);
+        return Err(AttemptDenied::DeadlinePassed);
     }
     may_execute(facts.repeat)
 }
@@ -132,7 +132,7 @@
 pub struct SendFacts {
     /// Its client still waits: the request has no final response, and the client has not closed its
     /// connection.
-    pub is_awaited: bool,
+    pub is_client_waiting: bool,
     /// The server that was chosen takes requests, at the same place and in the same start of its process.
     pub is_serving: bool,
     /// Until when it may begin, from now on, in milliseconds; negative if that is over.
@@ -145,18 +145,18 @@
 ///
 /// # Errors
 /// The first reason against it.
-pub fn may_send(facts: &SendFacts) -> Result<(), AttemptRefusal> {
+pub fn may_send(facts: &SendFacts) -> Result<(), AttemptDenied> {
     if !facts.is_serving {
-        return Err(AttemptRefusal::NotServing);
+        return Err(AttemptDenied::NotServing);
     }
     if facts.begin_within_ms < 0.0 {
-        return Err(AttemptRefusal::DedupWindowOver);
+        return Err(AttemptDenied::DedupWindowOver);
     }
     if facts.deadline_in_ms <= 0.0 {
-        return Err(AttemptRefusal::DeadlinePassed);
+        return Err(AttemptDenied::DeadlinePassed);
     }
-    if !facts.is_awaited {
-        return Err(AttemptRefusal::NotPending);
+    if !facts.is_client_waiting {
+        return Err(AttemptDenied::NotPending);
     }
     Ok(())
 }
@@ -189,7 +189,7 @@
 
     /// Whether nothing is owed on it or on its way: it may be closed in a moment, and its client sends again
     /// what has not been read.
-    pub fn is_at_rest(&self) -> bool {
+    pub fn is_idle(&self) -> bool {
         self.open_requests == 0 && self.incomplete_for_ms.is_none()
     }
 
@@ -220,7 +220,7 @@
     /// Whether the end of the process has to wait for it: a response is owed or on its way, or it has been
     /// answered and is not closed yet. Connections that have sent no request are not waited for: faulty
     /// clients open new ones without end, and a limiter that lingers for them is missed.
-    pub fn must_be_awaited(&self) -> bool {
+    pub fn blocks_shutdown(&self) -> bool {
         self.open_requests > 0 || self.incomplete_for_ms.is_none()
     }
 }
@@ -236,8 +236,8 @@
 
 impl ServerConnectionFacts {
     /// Whether it has to rest before it may carry the next request.
-    pub fn is_quarantined(&self) -> bool {
-        self.idle_ms < QUARANTINE_MS
+    pub fn is_in_reuse_delay(&self) -> bool {
+        self.idle_ms < CONNECTION_REUSE_DELAY_MS
     }
 
     /// Whether it has been idle for so long that the server may close it at any moment.
@@ -254,12 +254,12 @@
     /// Time since the listener was closed, in milliseconds; none while it is open.
     pub closed_for_ms: Option<Millis>,
     /// A connection must be awaited.
-    pub must_await_connection: bool,
+    pub has_blocking_connection: bool,
 }
 
 /// Whether the process may end: all that it accepted is answered, or it takes far too long.
-pub fn may_end(facts: &ShutdownFacts) -> bool {
+pub fn may_exit(facts: &ShutdownFacts) -> bool {
     let is_finished = facts.closed_for_ms.is_some_and(|closed_ms| closed_ms >= LAST_ACCEPTED_READ_MS)
-        && !facts.must_await_connection;
+        && !facts.has_blocking_connection;
     is_finished || facts.signalled_for_ms >= MAX_SHUTDOWN_MS
 }
--- a/limiter-core/tests/rules.rs
+++ b/limiter-core/tests/rules.rs
@@ -14,7 +14,7 @@
 #[test]
 fn a_connection_with_an_open_request_is_closed_only_if_its_response_is_not_read() {
     let open = ClientConnectionFacts { open_requests: 1, idle_ms: 60_000.0, ..AT_REST };
-    assert!(!open.may_close() && !open.is_overdue() && !open.may_evict() && open.must_be_awaited());
+    assert!(!open.may_close() && !open.is_overdue() && !open.may_evict() && open.blocks_shutdown());
     let is_overdue = |unwritten_ms| {
         ClientConnectionFacts { unwritten_for_ms: Some(unwritten_ms), idle_ms: unwritten_ms, ..open }
             .is_overdue()
@@ -27,7 +27,7 @@
 fn a_request_that_stays_incomplete_is_overdue_within_3_s() {
     let incomplete = |ms| ClientConnectionFacts { incomplete_for_ms: Some(ms), idle_ms: ms, ..AT_REST };
     assert!(!incomplete(1_900.0).is_overdue());
-    assert!(incomplete(2_100.0).is_overdue() && !incomplete(2_100.0).must_be_awaited());
+    assert!(incomplete(2_100.0).is_overdue() && !incomplete(2_100.0).blocks_shutdown());
 }
 
 const FIRST: AttemptFacts = AttemptFacts {
@@ -37,7 +37,7 @@
     attempts: 0,
     max_attempts: 3,
     has_no_value: false,
-    repeat: RepeatFacts {
+    repeat: ExecutionFacts {
         idempotency: Idempotency::NonIdempotent,
         may_have_executed: false,
         dedup_ends_in_ms: f64::INFINITY,
@@ -47,16 +47,16 @@
 #[test]
 fn an_attempt_is_refused_for_each_reason_alone() {
     assert_eq!(may_attempt(&FIRST), Ok(()));
-    let executed = RepeatFacts { may_have_executed: true, ..FIRST.repeat };
-    let keyed = RepeatFacts { idempotency: Idempotency::WithKey, dedup_ends_in_ms: 0.0, ..executed };
+    let executed = ExecutionFacts { may_have_executed: true, ..FIRST.repeat };
+    let keyed = ExecutionFacts { idempotency: Idempotency::WithKey, dedup_ends_in_ms: 0.0, ..executed };
     for (facts, refusal) in [
-        (AttemptFacts { has_attempt_in_flight: true, ..FIRST }, AttemptRefusal::AnotherInFlight),
-        (AttemptFacts { is_streaming: true, ..FIRST }, AttemptRefusal::ResponseBegun),
-        (AttemptFacts { deadline_in_ms: 0.0, ..FIRST }, AttemptRefusal::DeadlinePassed),
-        (AttemptFacts { attempts: 3, ..FIRST }, AttemptRefusal::AttemptsExhausted),
-        (AttemptFacts { has_no_value: true, ..FIRST }, AttemptRefusal::NoValueLeft),
-        (AttemptFacts { repeat: executed, ..FIRST }, AttemptRefusal::MayHaveExecuted),
-        (AttemptFacts { repeat: keyed, ..FIRST }, AttemptRefusal::DedupWindowOver),
+        (AttemptFacts { has_attempt_in_flight: true, ..FIRST }, AttemptDenied::AnotherInFlight),
+        (AttemptFacts { is_streaming: true, ..FIRST }, AttemptDenied::ResponseBegun),
+        (AttemptFacts { deadline_in_ms: 0.0, ..FIRST }, AttemptDenied::DeadlinePassed),
+        (AttemptFacts { attempts: 3, ..FIRST }, AttemptDenied::AttemptsExhausted),
+        (AttemptFacts { has_no_value: true, ..FIRST }, AttemptDenied::NoValueLeft),
+        (AttemptFacts { repeat: executed, ..FIRST }, AttemptDenied::MayHaveExecuted),
+        (AttemptFacts { repeat: keyed, ..FIRST }, AttemptDenied::DedupWindowOver),
     ] {
         assert_eq!(may_attempt(&facts), Err(refusal));
     }
@@ -64,23 +64,24 @@
 
 #[test]
 fn nothing_is_sent_for_a_client_that_has_gone_or_to_a_server_that_has() {
-    let facts = SendFacts { is_awaited: true, is_serving: true, begin_within_ms: 0.0, deadline_in_ms: 1.0 };
+    let facts =
+        SendFacts { is_client_waiting: true, is_serving: true, begin_within_ms: 0.0, deadline_in_ms: 1.0 };
     assert_eq!(may_send(&facts), Ok(()));
-    assert_eq!(may_send(&SendFacts { is_awaited: false, ..facts }), Err(AttemptRefusal::NotPending));
-    assert_eq!(may_send(&SendFacts { is_serving: false, ..facts }), Err(AttemptRefusal::NotServing));
+    assert_eq!(may_send(&SendFacts { is_client_waiting: false, ..facts }), Err(AttemptDenied::NotPending));
+    assert_eq!(may_send(&SendFacts { is_serving: false, ..facts }), Err(AttemptDenied::NotServing));
     let too_late = SendFacts { begin_within_ms: -1.0, ..facts };
-    assert_eq!(may_send(&too_late), Err(AttemptRefusal::DedupWindowOver));
-    assert_eq!(may_send(&SendFacts { deadline_in_ms: 0.0, ..facts }), Err(AttemptRefusal::DeadlinePassed));
+    assert_eq!(may_send(&too_late), Err(AttemptDenied::DedupWindowOver));
+    assert_eq!(may_send(&SendFacts { deadline_in_ms: 0.0, ..facts }), Err(AttemptDenied::DeadlinePassed));
 }
 
 #[test]
 fn a_process_ends_once_all_is_answered_or_after_far_too_long() {
     let ending =
-        ShutdownFacts { signalled_for_ms: 900.0, closed_for_ms: Some(60.0), must_await_connection: false };
-    assert!(may_end(&ending));
-    assert!(!may_end(&ShutdownFacts { must_await_connection: true, ..ending }));
-    assert!(!may_end(&ShutdownFacts { closed_for_ms: None, ..ending }));
-    assert!(!may_end(&ShutdownFacts { closed_for_ms: Some(10.0), ..ending }));
-    let stuck = ShutdownFacts { signalled_for_ms: 21_000.0, must_await_connection: true, ..ending };
-    assert!(may_end(&stuck));
+        ShutdownFacts { signalled_for_ms: 900.0, closed_for_ms: Some(60.0), has_blocking_connection: false };
+    assert!(may_exit(&ending));
+    assert!(!may_exit(&ShutdownFacts { has_blocking_connection: true, ..ending }));
+    assert!(!may_exit(&ShutdownFacts { closed_for_ms: None, ..ending }));
+    assert!(!may_exit(&ShutdownFacts { closed_for_ms: Some(10.0), ..ending }));
+    let stuck = ShutdownFacts { signalled_for_ms: 21_000.0, has_blocking_connection: true, ..ending };
+    assert!(may_exit(&stuck));
 }
--- a/limiter/src/engine/mod.rs
+++ b/limiter/src/engine/mod.rs
@@ -159,7 +159,7 @@
 
     /// Whether a client still waits for the response to a request. Its disconnect may lie unread, where the process was
     /// held up: it is looked for at the socket.
-    pub fn is_awaited(self: &Rc<Self>, id: RequestId) -> bool {
+    pub fn is_client_waiting(self: &Rc<Self>, id: RequestId) -> bool {
         let Some(client) = self.state.borrow().pending.client(id) else { return false };
         let is_closed = client.is_closed_by_client();
         if is_closed {
--- a/limiter/src/frontend/connection.rs
+++ b/limiter/src/frontend/connection.rs
@@ -116,8 +116,8 @@
             () = poll_fn(|cx| read_ahead.borrow_mut().poll_disconnected(state, cx)) => return CloseReason::ClientLeft,
             () = state.shutdown_requested() => {
                 // Else it ends with its last response, or is looked at again once one is written.
-                let is_at_rest = state.facts(true).is_at_rest() && !read_ahead.borrow().has_bytes();
-                if is_at_rest || !state.has_received_bytes() {
+                let is_idle = state.facts(true).is_idle() && !read_ahead.borrow().has_bytes();
+                if is_idle || !state.has_received_bytes() {
                     http.as_mut().graceful_shutdown();
                 }
             }
--- a/limiter/src/frontend/connections.rs
+++ b/limiter/src/frontend/connections.rs
@@ -85,8 +85,8 @@
     }
 
     /// Whether the shutdown has to wait for any connection.
-    pub(super) fn must_be_awaited(&self) -> bool {
-        self.by_id.borrow().values().any(|state| state.facts(self.is_shutting_down()).must_be_awaited())
+    pub(super) fn blocks_shutdown(&self) -> bool {
+        self.by_id.borrow().values().any(|state| state.facts(self.is_shutting_down()).blocks_shutdown())
     }
 
     /// Closes the connection of the lowest [`ConnectionState::eviction_rank`], if any may be evicted: clients that hold
--- a/limiter/src/frontend/shutdown.rs
+++ b/limiter/src/frontend/shutdown.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use limiter_core::rules::{may_end, ShutdownFacts};
+use limiter_core::rules::{may_exit, ShutdownFacts};
 use tokio::time::Instant;
 
 use super::acceptor::Acceptor;
@@ -51,11 +51,11 @@
     pub(super) async fn advance(&mut self, connections: &Connections, acceptor: &mut Acceptor) -> bool {
         self.shut_down_connections_if_due(connections).await;
         self.close_listener_if_due(acceptor).await;
-        if !may_end(&self.facts(connections)) {
+        if !may_exit(&self.facts(connections)) {
             return false;
         }
         read_all_that_arrived(connections.len()).await;
-        may_end(&self.facts(connections))
+        may_exit(&self.facts(connections))
     }
 
     fn facts(&self, connections: &Connections) -> ShutdownFacts {
@@ -67,7 +67,7 @@
         ShutdownFacts {
             signalled_for_ms: elapsed_ms(self.signalled_at),
             closed_for_ms: closed_at.map(elapsed_ms),
-            must_await_connection: connections.must_be_awaited(),
+            has_blocking_connection: connections.blocks_shutdown(),
         }
     }
 
--- a/limiter/src/upstream/attempt.rs
+++ b/limiter/src/upstream/attempt.rs
@@ -7,7 +7,7 @@
 use http_body_util::Full;
 use hyper::header::{HeaderMap, HeaderName, HOST};
 use hyper::{Request, StatusCode};
-use limiter_core::rules::{self, AttemptRefusal, SendFacts};
+use limiter_core::rules::{self, AttemptDenied, SendFacts};
 use limiter_core::{Millis, Outcome};
 
 use super::connection::{ConnectError, RequestSender};
@@ -35,7 +35,7 @@
     /// The rules do not allow it any more: while a connection was waited for, the server, the client or the time to begin
     /// was lost.
     #[error("the attempt came too late: {0}")]
-    Refused(AttemptRefusal),
+    Refused(AttemptDenied),
     /// The request's parts make no valid head.
     #[error("the request cannot be written: {0}")]
     InvalidRequest(#[from] hyper::http::Error),
@@ -111,7 +111,7 @@
 ) -> Result<(), AttemptError> {
     let now = engine.now();
     let facts = SendFacts {
-        is_awaited: engine.is_awaited(job.id.request),
+        is_client_waiting: engine.is_client_waiting(job.id.request),
         is_serving: engine.serving_address(&job.server) == Some(address),
         begin_within_ms: job.begin_by - now,
         deadline_in_ms: job.deadline - now,
--- a/limiter/src/upstream/pool.rs
+++ b/limiter/src/upstream/pool.rs
@@ -61,7 +61,7 @@
     pub fn take_idle(&mut self, server: &ServerId) -> Option<PooledConnection> {
         let max_idle_ms = self.max_idle_ms;
         let connections = self.idle.get_mut(server)?;
-        let has_rested = |idle: &IdleConnection| !idle.facts(max_idle_ms).is_quarantined();
+        let has_rested = |idle: &IdleConnection| !idle.facts(max_idle_ms).is_in_reuse_delay();
         while let Some(position) = connections.iter().rposition(has_rested) {
             let mut idle = connections.remove(position);
             if !idle.facts(max_idle_ms).is_expired() && idle.connection.is_alive() {
