--- a/limiter/src/discovery/watch.rs
+++ b/limiter/src/discovery/watch.rs
@@ -17,7 +17,7 @@
 use super::source::{WatchSource, WatchTarget};
 use crate::endpoints::EndpointList;
 use crate::engine::Engine;
-use crate::metrics::Metrics;
+use crate::observability::metrics::Metrics;
 
 /// Why a watch has ended.
 #[derive(Debug, thiserror::Error)]
--- a/limiter/src/engine/attempts.rs
+++ b/limiter/src/engine/attempts.rs
@@ -6,9 +6,9 @@
 
 use super::timer_queue::TimerKind;
 use super::{Engine, State};
-use crate::attempt_job::{AttemptId, AttemptJob, AttemptResult};
-use crate::metrics::Metrics;
-use crate::request::FinalResponse;
+use crate::messages::attempt::{AttemptId, AttemptJob, AttemptResult};
+use crate::messages::request::FinalResponse;
+use crate::observability::metrics::Metrics;
 
 impl Engine {
     /// An attempt has ended; its connection is closed or back in the pool by now. A response in time goes to the
--- a/limiter/src/engine/clock.rs
+++ b/limiter/src/engine/clock.rs
@@ -6,7 +6,7 @@
 
 use limiter_core::Millis;
 
-use crate::duration;
+use crate::runtime::duration;
 
 /// Bits of the moment at which a clock starts, in milliseconds: some 35 years, so that a 64-bit float holds it to well
 /// under a microsecond.
--- a/limiter/src/engine/endpoint_updates.rs
+++ b/limiter/src/engine/endpoint_updates.rs
@@ -6,8 +6,8 @@
 use limiter_core::{Endpoint, Event, Millis};
 
 use super::Engine;
-use crate::duration;
 use crate::endpoints::EndpointUpdate;
+use crate::runtime::duration;
 
 /// The endpoint list of the configuration counts as current after this long without an announcement of discovery.
 const DISCOVERY_PATIENCE_MS: Millis = 2000.0;
--- a/limiter/src/engine/mod.rs
+++ b/limiter/src/engine/mod.rs
@@ -21,13 +21,13 @@
 use limiter_core::{Action, Event, Limiter, Millis, Outcome, Request, RequestId, ServerId, SettingsError};
 use tokio::sync::Notify;
 
-use crate::arrival::{Arrival, ArrivalClock};
-use crate::attempt_job::AttemptId;
 use crate::config::Config;
-use crate::duration;
 use crate::endpoints::EndpointUpdate;
-use crate::metrics::Metrics;
-use crate::request::{FinalResponse, ForwardedRequest};
+use crate::messages::attempt::AttemptId;
+use crate::messages::request::{FinalResponse, ForwardedRequest};
+use crate::observability::metrics::Metrics;
+use crate::runtime::arrival::{Arrival, ArrivalClock};
+use crate::runtime::duration;
 use clock::Clock;
 use endpoint_table::EndpointTable;
 use pending::{Deadlines, PendingRequests};
--- a/limiter/src/engine/pending.rs
+++ b/limiter/src/engine/pending.rs
@@ -8,8 +8,8 @@
 use tokio::sync::oneshot;
 
 use super::ClientConnection;
-use crate::attempt_job::AttemptId;
-use crate::request::{FinalResponse, ForwardedRequest};
+use crate::messages::attempt::AttemptId;
+use crate::messages::request::{FinalResponse, ForwardedRequest};
 
 /// Until when a request has to be answered.
 #[derive(Debug, Clone, Copy)]
--- a/limiter/src/engine/pending_response.rs
+++ b/limiter/src/engine/pending_response.rs
@@ -6,7 +6,7 @@
 use tokio::sync::oneshot;
 
 use super::Engine;
-use crate::request::FinalResponse;
+use crate::messages::request::FinalResponse;
 
 /// A request with the same correlation id is pending: two at the servers could not be told apart.
 #[derive(Debug)]
--- a/limiter/src/engine/ports.rs
+++ b/limiter/src/engine/ports.rs
@@ -6,7 +6,7 @@
 use tokio::sync::oneshot;
 
 use super::Engine;
-use crate::attempt_job::AttemptJob;
+use crate::messages::attempt::AttemptJob;
 
 /// Makes attempts at servers.
 pub trait Upstream {
--- a/limiter/src/engine/timer_queue.rs
+++ b/limiter/src/engine/timer_queue.rs
@@ -5,7 +5,7 @@
 
 use limiter_core::{Millis, RequestId, TimerToken};
 
-use crate::attempt_job::AttemptId;
+use crate::messages::attempt::AttemptId;
 
 /// What a timer is for. Timers of one moment fire in the order of these variants.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
--- a/limiter/src/engine/timers.rs
+++ b/limiter/src/engine/timers.rs
@@ -6,9 +6,9 @@
 
 use super::timer_queue::{NextTimer, TimerKind};
 use super::{Engine, State};
-use crate::io_turns::read_all_that_arrived;
-use crate::metrics::Metrics;
-use crate::request::FinalResponse;
+use crate::messages::request::FinalResponse;
+use crate::observability::metrics::Metrics;
+use crate::runtime::event_loop::read_all_that_arrived;
 
 impl Engine {
     pub(super) fn set_timer(&self, state: &mut State, at: Millis, kind: TimerKind) {
--- a/limiter/src/frontend/connection.rs
+++ b/limiter/src/frontend/connection.rs
@@ -15,8 +15,8 @@
 use super::read_ahead::{ClientSocket, ReadAhead, ReadAheadStream};
 use super::request_handler;
 use crate::engine::Engine;
-use crate::metrics::Metrics;
 use crate::net::Stream;
+use crate::observability::metrics::Metrics;
 
 /// Longest head of a request.
 pub(super) const MAX_HEAD_BYTES: usize = 16 << 10;
--- a/limiter/src/frontend/connection_state.rs
+++ b/limiter/src/frontend/connection_state.rs
@@ -7,8 +7,8 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-use crate::arrival::Arrival;
-use crate::duration;
+use crate::runtime::arrival::Arrival;
+use crate::runtime::duration;
 
 /// The state of one client connection.
 ///
--- a/limiter/src/frontend/read_ahead.rs
+++ b/limiter/src/frontend/read_ahead.rs
@@ -15,9 +15,9 @@
 use super::connection_state::ConnectionState;
 use super::read_ahead_memory::ReadAheadShare;
 use super::request_framer::RequestFramer;
-use crate::arrival::{Arrival, ArrivalClock};
 use crate::engine::ClientConnection;
 use crate::net::Stream;
+use crate::runtime::arrival::{Arrival, ArrivalClock};
 
 /// Read at once while looking for a disconnect.
 const READ_CHUNK_BYTES: usize = 4096;
--- a/limiter/src/frontend/request_body.rs
+++ b/limiter/src/frontend/request_body.rs
@@ -8,7 +8,7 @@
 use hyper::StatusCode;
 use tokio::time::timeout;
 
-use crate::body::{self, BodyError};
+use crate::messages::body::{self, BodyError};
 
 /// Of a body that is too large, at most this much more is read, so that its sender sees the response.
 const MAX_DISCARDED_BYTES: usize = 1 << 20;
--- a/limiter/src/frontend/request_handler.rs
+++ b/limiter/src/frontend/request_handler.rs
@@ -15,8 +15,8 @@
 use super::request_head::{RequestHead, RequestHeadError};
 use super::response::{self, ClientResponse};
 use crate::engine::{DuplicateRequest, Engine, PendingResponse};
-use crate::metrics::Metrics;
-use crate::request::ForwardedRequest;
+use crate::messages::request::ForwardedRequest;
+use crate::observability::metrics::Metrics;
 
 /// A request has to arrive completely within this time from its first byte on, however slowly it trickles.
 const INCOMPLETE_REQUEST_TIMEOUT: Duration = Duration::from_millis(INCOMPLETE_REQUEST_TIMEOUT_MS as u64);
--- a/limiter/src/frontend/request_head.rs
+++ b/limiter/src/frontend/request_head.rs
@@ -6,7 +6,7 @@
 use limiter_core::{Idempotency, Request};
 
 use crate::config::Config;
-use crate::request::{CORRELATION_ID, IDEMPOTENCY_KEY, TIME_LEFT};
+use crate::messages::request::{CORRELATION_ID, IDEMPOTENCY_KEY, TIME_LEFT};
 
 /// Names the customer's plan.
 const PLAN: HeaderName = HeaderName::from_static("x-tariff");
--- a/limiter/src/frontend/response.rs
+++ b/limiter/src/frontend/response.rs
@@ -6,7 +6,7 @@
 use hyper::{Response, StatusCode};
 use limiter_core::Millis;
 
-use crate::request::FinalResponse;
+use crate::messages::request::FinalResponse;
 
 /// A response to a client; its body is complete from the start.
 pub(super) type ClientResponse = Response<Full<Bytes>>;
--- a/limiter/src/frontend/server.rs
+++ b/limiter/src/frontend/server.rs
@@ -7,9 +7,9 @@
 use super::acceptor::Acceptor;
 use super::connections::Connections;
 use super::shutdown::Shutdown;
-use crate::duration;
 use crate::engine::Engine;
 use crate::net::Listener;
+use crate::runtime::duration;
 
 /// How often the accept loop checks whether there is room again, or a step of the shutdown is due.
 const TICK_INTERVAL: Duration = Duration::from_millis(50);
--- a/limiter/src/frontend/shutdown.rs
+++ b/limiter/src/frontend/shutdown.rs
@@ -7,8 +7,8 @@
 
 use super::acceptor::Acceptor;
 use super::connections::Connections;
-use crate::duration;
-use crate::io_turns::read_all_that_arrived;
+use crate::runtime::duration;
+use crate::runtime::event_loop::read_all_that_arrived;
 
 /// A request that races with the end of its keep-alive connection is sent again on a new one: new connections are
 /// accepted for this much longer.
--- a/limiter/src/main.rs
+++ b/limiter/src/main.rs
@@ -2,23 +2,17 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-mod arrival;
-mod attempt_job;
-mod body;
 mod config;
 mod discovery;
-mod duration;
 mod endpoints;
 mod engine;
 mod frontend;
 mod gossip;
-mod io_turns;
-mod logging;
-mod metrics;
+mod messages;
 mod net;
+mod observability;
 mod reload;
-mod request;
-mod signals;
+mod runtime;
 mod upstream;
 
 use std::io;
@@ -34,7 +28,8 @@
 use engine::Engine;
 use gossip::GossipSender;
 use net::{through_shortage, DatagramSocket, Listener};
-use signals::{SignalError, Signals};
+use observability::logging;
+use runtime::signals::{SignalError, Signals};
 use upstream::Servers;
 
 /// Connections that may wait to be accepted, as far as the system allows. Beyond it the first packets of a connection
--- a/limiter/src/attempt_job.rs
+++ b/limiter/src/messages/attempt.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use limiter_core::{Millis, Outcome, RequestId, ServerId};
 
-use crate::request::ForwardedRequest;
+use crate::messages::request::ForwardedRequest;
 
 /// Identifies an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
--- /dev/null
+++ b/limiter/src/messages/mod.rs
@@ -0,0 +1,5 @@
+//! What the front end, the engine and the upstream exchange: requests, responses, attempts and bodies.
+
+pub mod attempt;
+pub mod body;
+pub mod request;
--- a/limiter/src/reload.rs
+++ b/limiter/src/reload.rs
@@ -7,7 +7,7 @@
 
 use crate::config::{Config, ConfigError};
 use crate::discovery::WatchTarget;
-use crate::signals::Signals;
+use crate::runtime::signals::Signals;
 
 /// For so long a file is read again that cannot be read: calls fail for a moment, and files are seen half written. What a
 /// new discovery has counts as announced 4 s after the signal.
--- a/limiter/src/upstream/attempt.rs
+++ b/limiter/src/upstream/attempt.rs
@@ -12,10 +12,10 @@
 
 use super::connection::{ConnectError, RequestSender};
 use super::Servers;
-use crate::attempt_job::{AttemptJob, AttemptResult};
-use crate::body::{read_body, BodyError};
 use crate::engine::Engine;
-use crate::request::{CORRELATION_ID, IDEMPOTENCY_KEY, TIME_LEFT};
+use crate::messages::attempt::{AttemptJob, AttemptResult};
+use crate::messages::body::{read_body, BodyError};
+use crate::messages::request::{CORRELATION_ID, IDEMPOTENCY_KEY, TIME_LEFT};
 
 /// Says with a failure that the server did not process the request.
 const UNPROCESSED: HeaderName = HeaderName::from_static("x-unprocessed");
--- a/limiter/src/upstream/connection.rs
+++ b/limiter/src/upstream/connection.rs
@@ -14,7 +14,7 @@
 use tokio::time::timeout;
 
 use super::permit::ConnectionPermit;
-use crate::body::MAX_BODY_BYTES;
+use crate::messages::body::MAX_BODY_BYTES;
 use crate::net::{is_local, Stream};
 
 /// The half of a connection that takes requests.
--- a/limiter/src/upstream/mod.rs
+++ b/limiter/src/upstream/mod.rs
@@ -13,11 +13,11 @@
 use limiter_core::{Millis, Outcome, ServerId};
 use tokio::sync::oneshot;
 
-use crate::attempt_job::{AttemptId, AttemptJob};
 use crate::config::Config;
-use crate::duration;
 use crate::engine::{Engine, Upstream};
-use crate::metrics::Metrics;
+use crate::messages::attempt::{AttemptId, AttemptJob};
+use crate::observability::metrics::Metrics;
+use crate::runtime::duration;
 use attempt::send_and_receive;
 use connection::{ConnectError, PooledConnection};
 use pool::ConnectionPool;
--- a/limiter/src/upstream/pool.rs
+++ b/limiter/src/upstream/pool.rs
@@ -10,7 +10,7 @@
 
 use super::connection::PooledConnection;
 use super::permit::ConnectionPermit;
-use crate::duration;
+use crate::runtime::duration;
 
 struct IdleConnection {
     connection: PooledConnection,
