--- a/limiter/src/discovery/watch.rs
+++ b/limiter/src/discovery/watch.rs
@@ -17,6 +17,7 @@
 use super::source::{WatchSource, WatchTarget};
 use crate::endpoints::EndpointList;
 use crate::engine::Engine;
+use crate::observability::labels::WatchEndReason;
 use crate::observability::metrics::Metrics;
 
 /// Why a watch has ended.
@@ -46,15 +47,15 @@
 }
 
 impl WatchError {
-    /// The kind under which it is counted.
-    fn kind(&self) -> &'static str {
+    /// Returns the reason under which the end of the watch is counted.
+    fn reason(&self) -> WatchEndReason {
         match self {
-            WatchError::Silent => "silent",
-            WatchError::Call(_) => "call failed",
-            WatchError::Connection(_) => "connection failed",
-            WatchError::Ended => "ended",
-            WatchError::InvalidList(_) | WatchError::Framing(_) => "unreadable",
-            WatchError::Superseded => "superseded",
+            WatchError::Silent => WatchEndReason::Silent,
+            WatchError::Call(_) => WatchEndReason::RequestFailed,
+            WatchError::Connection(_) => WatchEndReason::ConnectionFailed,
+            WatchError::Ended => WatchEndReason::EndedByDiscovery,
+            WatchError::InvalidList(_) | WatchError::Framing(_) => WatchEndReason::Unreadable,
+            WatchError::Superseded => WatchEndReason::Superseded,
         }
     }
 
@@ -111,7 +112,9 @@
             let ended = self.watch_once().await;
             if self.target.newest() != self.source.number {
                 let address = self.source.address;
-                return tracing::info!("discovery: {}; {address} is no longer watched", ended.error);
+                let error = &ended.error;
+                tracing::info!(%address, %error, "endpoint watch superseded");
+                return;
             }
             self.engine.handle_event(Event::WatchFailed);
             let wait = self.next_wait(&ended);
@@ -156,10 +159,11 @@
 
     /// Logs why a watch has ended; once if watches end in the same way many times a second.
     fn log_end(&mut self, ended: &EndedWatch) {
-        Metrics::count(&self.engine.metrics().watches_ended, ended.error.kind());
+        let reason = ended.error.reason();
+        Metrics::count(&self.engine.metrics().endpoint_watches_ended, reason);
         let error = ended.error.to_string();
         if ended.progressed || self.last_error.as_ref() != Some(&error) {
-            tracing::info!("discovery: {error}; watching again");
+            tracing::info!(%reason, %error, "endpoint watch failed, reconnecting");
         }
         self.last_error = Some(error);
     }
--- a/limiter/src/engine/attempts.rs
+++ b/limiter/src/engine/attempts.rs
@@ -8,6 +8,7 @@
 use super::{Engine, State};
 use crate::messages::attempt::{AttemptId, AttemptJob, AttemptResult};
 use crate::messages::request::FinalResponse;
+use crate::observability::labels::{AttemptOutcome, Invariant};
 use crate::observability::metrics::Metrics;
 
 impl Engine {
@@ -38,8 +39,9 @@
 
     fn count_attempt(&self, id: AttemptId, outcome: Outcome) {
         let AttemptId { request, number: attempt } = id;
-        tracing::debug!(request, attempt, ?outcome, "attempt ended");
-        Metrics::count(&self.metrics.attempts, outcome_kind(outcome));
+        let outcome = AttemptOutcome::from(outcome);
+        tracing::debug!(request, attempt, %outcome, "attempt ended");
+        Metrics::count(&self.metrics.attempts, outcome);
     }
 
     pub(super) fn start_attempt(
@@ -53,7 +55,7 @@
         let now = self.now();
         if attempt.another_in_flight {
             let detail = format_args!("request {id}: a second attempt beside the first was not sent");
-            self.metrics.violation("one attempt at a time", &detail);
+            self.metrics.record_violation(Invariant::OneAttemptAtATime, &detail);
         }
         if attempt.another_in_flight || state.endpoints.serving_address(&server).is_none() {
             state.events.push_back(Event::AttemptEnded {
@@ -80,17 +82,3 @@
         self.upstream.start_attempt(self, job, cancelled);
     }
 }
-
-/// The kind under which the end of an attempt is counted.
-fn outcome_kind(outcome: Outcome) -> &'static str {
-    match outcome {
-        Outcome::Ok => "served",
-        Outcome::Error => "error",
-        Outcome::Rejected => "rejected",
-        Outcome::TimedOut => "timed out",
-        Outcome::ConnectFailed => "connect failed",
-        Outcome::ConnectionLost => "connection lost",
-        Outcome::Cancelled => "cancelled",
-        Outcome::NotSent => "not sent",
-    }
-}
--- a/limiter/src/engine/endpoint_table.rs
+++ b/limiter/src/engine/endpoint_table.rs
@@ -7,6 +7,7 @@
 
 use super::Upstream;
 use crate::endpoints::{EndpointUpdate, ResolvedEndpoint};
+use crate::observability::labels::state_name;
 
 /// Of a long list only so many changes are logged.
 const MAX_LOGGED_CHANGES: usize = 64;
@@ -52,11 +53,17 @@
             num_changed += usize::from(changed);
             if changed && num_changed <= MAX_LOGGED_CHANGES {
                 let ResolvedEndpoint { endpoint, address } = listed;
-                tracing::info!("server {} at {address}: {:?}", endpoint.server, endpoint.state);
+                let server = &endpoint.server;
+                let state = state_name(endpoint.state);
+                tracing::info!(%server, %address, %state, "endpoint changed");
             }
         }
         if num_changed > MAX_LOGGED_CHANGES {
-            tracing::info!("{num_changed} servers have changed, these are the first {MAX_LOGGED_CHANGES}");
+            tracing::info!(
+                changed_endpoints = num_changed,
+                logged_endpoints = MAX_LOGGED_CHANGES,
+                "endpoint changes omitted from log"
+            );
         }
     }
 
--- a/limiter/src/engine/endpoint_updates.rs
+++ b/limiter/src/engine/endpoint_updates.rs
@@ -35,7 +35,8 @@
     pub async fn use_configured_list_after_patience(self: Rc<Self>) {
         tokio::time::sleep(duration::from_ms(self.discovery_patience_ms())).await;
         if let Some(list) = self.configured_list.take() {
-            tracing::warn!("discovery has announced nothing: using the endpoint list of the configuration");
+            let waited_ms = self.discovery_patience_ms();
+            tracing::warn!(waited_ms, "discovery silent, using configured endpoint list");
             self.apply_configured_list(list);
         }
     }
@@ -88,6 +89,6 @@
 
 fn log_invalid_entries(update: &EndpointUpdate) {
     for _ in 0..update.invalid_entries {
-        tracing::warn!("discovery: ignored an entry of the endpoint list that cannot be read");
+        tracing::warn!("unreadable endpoint entry ignored");
     }
 }
--- a/limiter/src/engine/mod.rs
+++ b/limiter/src/engine/mod.rs
@@ -18,13 +18,16 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use limiter_core::{Action, Event, Limiter, Millis, Outcome, Request, RequestId, ServerId, SettingsError};
+use limiter_core::{
+    Action, Ejection, Event, Limiter, Millis, Outcome, Request, RequestId, ServerId, SettingsError,
+};
 use tokio::sync::Notify;
 
 use crate::config::Config;
 use crate::endpoints::EndpointUpdate;
 use crate::messages::attempt::AttemptId;
 use crate::messages::request::{FinalResponse, ForwardedRequest};
+use crate::observability::labels::{ejection_reason_name, Invariant, ResponseOutcome};
 use crate::observability::metrics::Metrics;
 use crate::runtime::arrival::{Arrival, ArrivalClock};
 use crate::runtime::duration;
@@ -121,8 +124,7 @@
 
     /// Writes all counters to the log, one a line.
     pub fn report_metrics(&self) {
-        let text = self.metrics.text();
-        text.lines().filter(|line| !line.starts_with('#')).for_each(|line| tracing::info!("{line}"));
+        self.metrics.log_all();
     }
 
     /// Reports the end of the process: nothing may be pending any more.
@@ -130,10 +132,10 @@
         let pending = self.state.borrow().pending.len();
         if pending > 0 {
             let detail = format_args!("{pending} requests are pending at the end of the process");
-            self.metrics.violation("one final response", &detail);
+            self.metrics.record_violation(Invariant::OneFinalResponse, &detail);
         }
         self.report_metrics();
-        tracing::info!("stops");
+        tracing::info!("shutdown complete");
     }
 
     /// The present moment of the core's clock.
@@ -195,7 +197,7 @@
             .pending
             .insert(content, Deadlines { deadline, server_deadline }, client)
             .ok_or(DuplicateRequest)?;
-        tracing::debug!(request = id, ?correlation_id, waited_ms, "request taken");
+        tracing::debug!(request = id, ?correlation_id, waited_ms, "request submitted");
         self.set_timer(&mut state, deadline, TimerKind::Deadline(id));
         self.dispatch_event(&mut state, Event::RequestArrived(Request { id, waited_ms, ..request }));
         self.metrics.requests.inc();
@@ -206,8 +208,8 @@
     fn client_disconnected(self: &Rc<Self>, id: RequestId) {
         let mut state = self.state.borrow_mut();
         if state.pending.remove(id) {
-            tracing::debug!(request = id, "client gone");
-            Metrics::count(&self.metrics.responses, "client gone");
+            tracing::debug!(request = id, "client disconnected");
+            Metrics::count(&self.metrics.responses, ResponseOutcome::ClientDisconnected);
             self.dispatch_event(&mut state, Event::ClientDisconnected { id });
         }
     }
@@ -262,22 +264,30 @@
                 self.set_timer(state, self.now() + after_ms.max(0.0), TimerKind::Decision(token));
             }
             Action::SendGossip { to, body } => {
-                self.metrics.gossip_sent.inc();
+                self.metrics.gossip_messages_sent.inc();
                 self.gossip.send(to, &body);
             }
             // The watch is always kept.
             Action::SubscribeToEndpoints => {}
-            Action::LogEjection(ejection) => tracing::warn!("{ejection}"),
+            Action::LogEjection(ejection) => log_ejection(&ejection),
         }
     }
 
     /// Gives a request its one final response.
     fn respond(&self, state: &mut State, id: RequestId, response: FinalResponse) {
-        let kind = response.kind();
-        tracing::debug!(request = id, reason = kind, "request finished");
-        Metrics::count(&self.metrics.responses, kind);
+        let outcome = response.outcome();
+        tracing::debug!(request = id, %outcome, "request finished");
+        Metrics::count(&self.metrics.responses, outcome);
         if !state.pending.respond(id, response) {
-            self.metrics.violation("one final response", &format_args!("request {id}: {kind} once more"));
+            let detail = format_args!("request {id}: {outcome} once more");
+            self.metrics.record_violation(Invariant::OneFinalResponse, &detail);
         }
     }
 }
+
+fn log_ejection(ejection: &Ejection) {
+    let server = &ejection.server;
+    let reason = ejection_reason_name(ejection.reason);
+    let duration_ms = ejection.duration_ms;
+    tracing::warn!(%server, %reason, duration_ms, "server ejected");
+}
--- a/limiter/src/engine/timers.rs
+++ b/limiter/src/engine/timers.rs
@@ -7,7 +7,9 @@
 use super::timer_queue::{NextTimer, TimerKind};
 use super::{Engine, State};
 use crate::messages::request::FinalResponse;
+use crate::observability::labels::ResponseOutcome;
 use crate::observability::metrics::Metrics;
+use crate::runtime::duration;
 use crate::runtime::event_loop::read_all_that_arrived;
 
 impl Engine {
@@ -20,9 +22,9 @@
     /// Fires timers when they are due, forever.
     pub async fn run_timers(self: Rc<Self>) {
         loop {
-            if let Some(held_up) = self.arrival_clock.record_turn() {
-                self.metrics.hold_ups.inc();
-                tracing::debug!(?held_up, "no processor time");
+            if let Some(stall) = self.arrival_clock.record_turn() {
+                self.metrics.process_stalls.inc();
+                tracing::debug!(stall_ms = duration::to_ms(stall), "process stalled");
                 // What has come meanwhile is taken in before timers decide as if it had not.
                 let pending = self.state.borrow().pending.len();
                 read_all_that_arrived(pending).await;
@@ -58,8 +60,8 @@
             // A backstop: the core ends their requests before this. Nothing is sent after it.
             TimerKind::Deadline(id) => {
                 if state.pending.respond(id, FinalResponse::Failed) {
-                    tracing::warn!(request = id, "failed at its deadline");
-                    Metrics::count(&self.metrics.responses, "failed at the deadline");
+                    tracing::warn!(request = id, "request failed at deadline");
+                    Metrics::count(&self.metrics.responses, ResponseOutcome::FailedAtDeadline);
                     state.events.push_back(Event::ClientDisconnected { id });
                 }
             }
--- a/limiter/src/frontend/acceptor.rs
+++ b/limiter/src/frontend/acceptor.rs
@@ -87,7 +87,7 @@
 
     async fn wait_for_resources(&mut self, error: &io::Error) {
         if !std::mem::replace(&mut self.is_failing, true) {
-            tracing::warn!("accept failed: {error}");
+            tracing::warn!(%error, "accept failed");
         }
         self.begin_queueing();
         self.connections.evict_one();
@@ -107,7 +107,10 @@
                     retries += 1;
                     self.wait_for_resources(&error).await;
                 }
-                Err(error) => return tracing::error!("accept queue given up: {error}"),
+                Err(error) => {
+                    tracing::error!(%error, "accept queue abandoned");
+                    return;
+                }
             }
         }
     }
--- a/limiter/src/frontend/connection.rs
+++ b/limiter/src/frontend/connection.rs
@@ -16,6 +16,7 @@
 use super::request_handler;
 use crate::engine::Engine;
 use crate::net::Stream;
+use crate::observability::labels::{ClientCloseReason, Invariant};
 use crate::observability::metrics::Metrics;
 
 /// Longest head of a request.
@@ -31,7 +32,7 @@
 ) {
     stream.set_nodelay();
     let (id, state) = connections.add();
-    engine.metrics().client_connections.inc();
+    engine.metrics().client_connections_accepted.inc();
     let (engine, connections) = (engine.clone(), connections.clone());
     tokio::task::spawn_local(async move {
         let memory = connections.read_ahead_memory().share();
@@ -42,41 +43,16 @@
     });
 }
 
-/// Why a connection was closed.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum CloseReason {
-    /// All is answered, and one side wanted no more.
-    Finished,
-    /// The client broke the connection, or sent what is not HTTP.
-    ClientError,
-    /// The client has closed it while its request was open.
-    ClientLeft,
-    /// It was overdue, or made way for another.
-    Aborted,
-}
-
-impl CloseReason {
-    /// The kind under which it is counted.
-    fn kind(self) -> &'static str {
-        match self {
-            CloseReason::Finished => "finished",
-            CloseReason::ClientError => "client error",
-            CloseReason::ClientLeft => "client left",
-            CloseReason::Aborted => "aborted",
-        }
-    }
-}
-
 /// Counts and logs the end of a connection. Only its client may end it while a response is owed.
-fn record_close(engine: &Engine, id: u64, state: &ConnectionState, reason: CloseReason) {
+fn record_close(engine: &Engine, id: u64, state: &ConnectionState, reason: ClientCloseReason) {
     let metrics = engine.metrics();
-    Metrics::count(&metrics.client_connections_closed, reason.kind());
+    Metrics::count(&metrics.client_connections_closed, reason);
     let open_requests = state.facts(false).open_requests;
-    tracing::debug!(connection = id, reason = reason.kind(), open_requests, "client connection closed");
-    let is_by_limiter = matches!(reason, CloseReason::Finished | CloseReason::Aborted);
+    tracing::debug!(connection = id, %reason, open_requests, "client connection closed");
+    let is_by_limiter = matches!(reason, ClientCloseReason::Finished | ClientCloseReason::Aborted);
     if is_by_limiter && !state.facts(false).may_close() {
-        let detail = format_args!("connection {id} closed with {open_requests} requests open: {reason:?}");
-        metrics.violation("no close with a request open", &detail);
+        let detail = format_args!("connection {id} closed with {open_requests} requests open: {reason}");
+        metrics.record_violation(Invariant::NoCloseWithOpenRequest, &detail);
     }
 }
 
@@ -90,7 +66,7 @@
     connections: &Rc<Connections>,
     state: &Rc<ConnectionState>,
     read_ahead: ReadAhead,
-) -> CloseReason {
+) -> ClientCloseReason {
     let read_ahead = Rc::new(RefCell::new(read_ahead));
     let service = service_fn(|request| {
         let (engine, connections, state) = (engine.clone(), connections.clone(), state.clone());
@@ -110,10 +86,10 @@
         tokio::select! {
             biased;
             // An error here is the client's: it left, or sent what is not HTTP.
-            served = &mut http => return served.map_or(CloseReason::ClientError, |()| CloseReason::Finished),
+            served = &mut http => return served.map_or(ClientCloseReason::ClientError, |()| ClientCloseReason::Finished),
             // If a request has arrived meanwhile, the connection stays.
-            () = state.abort_requested() => if state.facts(connections.is_shutting_down()).may_close() { return CloseReason::Aborted },
-            () = poll_fn(|cx| read_ahead.borrow_mut().poll_disconnected(state, cx)) => return CloseReason::ClientLeft,
+            () = state.abort_requested() => if state.facts(connections.is_shutting_down()).may_close() { return ClientCloseReason::Aborted },
+            () = poll_fn(|cx| read_ahead.borrow_mut().poll_disconnected(state, cx)) => return ClientCloseReason::ClientDisconnected,
             () = state.shutdown_requested() => {
                 // Else it ends with its last response, or is looked at again once one is written.
                 let is_idle = state.facts(true).is_idle() && !read_ahead.borrow().has_bytes();
--- a/limiter/src/frontend/request_handler.rs
+++ b/limiter/src/frontend/request_handler.rs
@@ -16,6 +16,7 @@
 use super::response::{self, ClientResponse};
 use crate::engine::{DuplicateRequest, Engine, PendingResponse};
 use crate::messages::request::ForwardedRequest;
+use crate::observability::labels::InvalidRequestReason;
 use crate::observability::metrics::Metrics;
 
 /// A request has to arrive completely within this time from its first byte on, however slowly it trickles.
@@ -80,8 +81,9 @@
         Ok(pending) => wait_for_response(state, pending).await,
         Err(error) => {
             let status = error.status();
-            tracing::debug!(status = status.as_u16(), reason = %error, "bad request");
-            Metrics::count(&engine.metrics().bad_requests, status.canonical_reason().unwrap_or("other"));
+            let reason = InvalidRequestReason::from_status(status);
+            tracing::debug!(status = status.as_u16(), %reason, %error, "invalid request rejected");
+            Metrics::count(&engine.metrics().invalid_requests, reason);
             response::reject(status, error.to_string())
         }
     }
--- a/limiter/src/frontend/server.rs
+++ b/limiter/src/frontend/server.rs
@@ -41,7 +41,7 @@
         tokio::select! {
             accepted = acceptor.accept(), if has_room => acceptor.accepted(accepted).await,
             signal = &mut stop, if shutdown.is_none() => {
-                tracing::info!("{signal}: shutting down");
+                tracing::info!(%signal, "shutdown started");
                 shutdown = Some(Shutdown::begin(serve_after_signal));
                 engine.start_shutdown();
             }
--- a/limiter/src/gossip.rs
+++ b/limiter/src/gossip.rs
@@ -46,7 +46,7 @@
         match socket.receive_from(&mut buffer).await {
             Ok((length, sender)) if length <= MAX_DATAGRAM_BYTES => {
                 if let Some(from) = position_of(sender, &engine.config().peers) {
-                    engine.metrics().gossip_received.inc();
+                    engine.metrics().gossip_messages_received.inc();
                     engine.handle_event(Event::GossipReceived { from, body: buffer[..length].to_vec() });
                 }
             }
--- a/limiter/src/main.rs
+++ b/limiter/src/main.rs
@@ -82,7 +82,7 @@
     let gossip = GossipSender::new(gossip_socket.clone(), config.peers.clone());
     let engine = Engine::new(config, Box::new(servers.clone()), Box::new(gossip))?;
     let address = listener.local_address().map_err(StartError::LocalAddress)?;
-    tracing::info!("serves on {address}");
+    tracing::info!(%address, "listening");
     if let Some(socket) = gossip_socket {
         tokio::task::spawn_local(gossip::receive(engine.clone(), socket));
     }
--- a/limiter/src/messages/request.rs
+++ b/limiter/src/messages/request.rs
@@ -4,6 +4,8 @@
 use hyper::header::{HeaderName, HeaderValue};
 use limiter_core::Millis;
 
+use crate::observability::labels::ResponseOutcome;
+
 /// Identifies a request; at most one with the same value is pending.
 pub const CORRELATION_ID: HeaderName = HeaderName::from_static("x-correlation-id");
 /// Marks the duplicates of one effect.
@@ -26,12 +28,12 @@
 }
 
 impl FinalResponse {
-    /// The kind under which it is counted.
-    pub fn kind(&self) -> &'static str {
+    /// Returns the outcome under which the response is counted.
+    pub fn outcome(&self) -> ResponseOutcome {
         match self {
-            FinalResponse::Served(_) => "served",
-            FinalResponse::Rejected { .. } => "rejected",
-            FinalResponse::Failed => "failed",
+            FinalResponse::Served(_) => ResponseOutcome::Served,
+            FinalResponse::Rejected { .. } => ResponseOutcome::Rejected,
+            FinalResponse::Failed => ResponseOutcome::Failed,
         }
     }
 }
--- a/limiter/src/observability/logging.rs
+++ b/limiter/src/observability/logging.rs
@@ -1,9 +1,32 @@
-//! Structured log lines on standard error: the limiter's name, the time, the level, a message and its fields.
+//! Structured log events on standard error: the limiter's name, the time, the level, a message and its fields.
 //!
-//! Lines are written by a thread of their own behind a bounded queue: where nobody reads them, the newest are lost, and
-//! the limiter goes on. Fields have the same names everywhere: `request` and `attempt` are the numbers of a request and
-//! of its attempt, `correlation_id` the client's, `server` an endpoint's id, `connection` the number of a client's
-//! connection, `reason` why something ended or was refused.
+//! A separate thread writes the lines from a bounded queue. If nobody reads standard error, the newest lines are lost and
+//! the limiter continues to serve.
+//!
+//! The message of an event is fixed, so that operators can search for it and count it. Every value is a field, and a
+//! field has the same name and meaning in every event:
+//!
+//! | field | meaning |
+//! | --- | --- |
+//! | `request` | number of a request at this limiter, from 0 |
+//! | `attempt` | number of an attempt of its request, from 0 |
+//! | `correlation_id` | the client's `X-Correlation-Id` |
+//! | `server` | id of a server on the endpoint list |
+//! | `address` | IP address and port |
+//! | `connection` | number of a client connection at this limiter |
+//! | `open_requests` | requests of a connection whose responses are not written completely |
+//! | `status` | status code of a response |
+//! | `signal` | name of a signal |
+//! | `state` | state of a server on the endpoint list, in snake case |
+//! | `outcome` | how a request or an attempt ended, in snake case |
+//! | `reason` | why something ended or was refused, in snake case |
+//! | `error` | text of the error that caused the event |
+//! | `invariant`, `detail` | what must hold and did not, in snake case; the values that show it |
+//! | `waited_ms`, `stall_ms`, `duration_ms` | times in milliseconds |
+//! | `changed_endpoints`, `logged_endpoints` | number of servers |
+//! | `name`, `value` | name of a counter with its label, and its value |
+//!
+//! [`super::labels`] lists the values in snake case.
 
 use std::fmt;
 
--- a/limiter/src/observability/mod.rs
+++ b/limiter/src/observability/mod.rs
@@ -1,4 +1,8 @@
-//! What the limiter shows of itself: structured log lines and counters.
+//! What the limiter shows of itself: structured log events and counters.
 
+pub mod labels;
 pub mod logging;
 pub mod metrics;
+
+#[cfg(test)]
+mod tests;
--- a/limiter/src/reload.rs
+++ b/limiter/src/reload.rs
@@ -21,10 +21,13 @@
         signals.reload_requested().await;
         match read_configuration().await {
             Ok(new) if watch_target.change_to(new.discovery) => {
-                tracing::info!("reload: discovery is at {} now", new.discovery);
+                let address = new.discovery;
+                tracing::info!(%address, "configuration reloaded, discovery address changed");
+            }
+            Ok(_) => tracing::info!("configuration reloaded, nothing changed"),
+            Err(error) => {
+                tracing::warn!(%error, "configuration reload failed, keeping current configuration");
             }
-            Ok(_) => tracing::info!("reload: nothing new"),
-            Err(error) => tracing::warn!("reload: {error}; keeping the old configuration"),
         }
     }
 }
@@ -37,7 +40,7 @@
         match Config::reloaded() {
             Err(error) if error.may_pass() && began.elapsed() < MAX_RETRY_TIME => {
                 if !std::mem::replace(&mut is_retry, true) {
-                    tracing::warn!("reload: {error}; trying again");
+                    tracing::warn!(%error, "configuration reload failed, retrying");
                 }
                 sleep(RETRY_DELAY).await;
             }
--- a/limiter/src/upstream/connection.rs
+++ b/limiter/src/upstream/connection.rs
@@ -16,6 +16,7 @@
 use super::permit::ConnectionPermit;
 use crate::messages::body::MAX_BODY_BYTES;
 use crate::net::{is_local, Stream};
+use crate::observability::labels::ServerConnectionOutcome;
 
 /// The half of a connection that takes requests.
 pub type RequestSender = SendRequest<Full<Bytes>>;
@@ -52,14 +53,14 @@
 }
 
 impl ConnectError {
-    /// The kind under which it is counted.
-    pub fn kind(&self) -> &'static str {
+    /// Returns the outcome under which the failure is counted.
+    pub fn connection_outcome(&self) -> ServerConnectionOutcome {
         match self {
-            ConnectError::NoPermit => "no permit",
-            ConnectError::LocalResources(_) => "no local resources",
-            ConnectError::Unreachable(_) => "unreachable",
-            ConnectError::TimedOut => "timed out",
-            ConnectError::Handshake(_) => "no handshake",
+            ConnectError::NoPermit => ServerConnectionOutcome::NoPermit,
+            ConnectError::LocalResources(_) => ServerConnectionOutcome::NoLocalResources,
+            ConnectError::Unreachable(_) => ServerConnectionOutcome::Unreachable,
+            ConnectError::TimedOut => ServerConnectionOutcome::TimedOut,
+            ConnectError::Handshake(_) => ServerConnectionOutcome::HandshakeFailed,
         }
     }
 }
--- a/limiter/src/upstream/mod.rs
+++ b/limiter/src/upstream/mod.rs
@@ -16,6 +16,7 @@
 use crate::config::Config;
 use crate::engine::{Engine, Upstream};
 use crate::messages::attempt::{AttemptId, AttemptJob};
+use crate::observability::labels::ServerConnectionOutcome;
 use crate::observability::metrics::Metrics;
 use crate::runtime::duration;
 use attempt::send_and_receive;
@@ -54,17 +55,19 @@
         // The pool is never borrowed during a wait.
         let pooled = self.pool.borrow_mut().take_idle(server);
         if let Some(connection) = pooled {
-            Metrics::count(&engine.metrics().server_connections, "used again");
+            Metrics::count(&engine.metrics().server_connections, ServerConnectionOutcome::Reused);
             return Ok(connection);
         }
         let permit = self.pool.borrow_mut().reserve().ok_or(ConnectError::NoPermit)?;
         let connect_timeout = duration::from_ms(self.connect_timeout_ms);
         let connected = PooledConnection::connect(address, connect_timeout, permit).await;
         match &connected {
-            Ok(_) => Metrics::count(&engine.metrics().server_connections, "made"),
+            Ok(_) => {
+                Metrics::count(&engine.metrics().server_connections, ServerConnectionOutcome::Established);
+            }
             Err(error) => {
-                Metrics::count(&engine.metrics().server_connections, error.kind());
-                tracing::debug!(%server, %address, reason = %error, "no connection");
+                Metrics::count(&engine.metrics().server_connections, error.connection_outcome());
+                tracing::debug!(%server, %address, %error, "server connection failed");
             }
         }
         connected
@@ -103,7 +106,7 @@
         result = send_and_receive(&servers, &engine, &job) => {
             result.unwrap_or_else(|error| {
                 let AttemptId { request, number: attempt } = job.id;
-                tracing::debug!(request, attempt, server = %job.server, reason = %error, "attempt without response");
+                tracing::debug!(request, attempt, server = %job.server, %error, "attempt failed without response");
                 error.outcome().into()
             })
         }
--- a/limiter/tests/client_disconnects.rs
+++ b/limiter/tests/client_disconnects.rs
@@ -213,7 +213,7 @@
             InFlightRequest::start(1, respond, &patient_request("c-1"), holding_requests);
         let server = &servers[0];
         node.discovery.send(&list_change(2, &[draining_at("s-1", server.addr)]));
-        node.wait_log("Draining");
+        node.wait_log("state=draining");
         gate.open();
         wait_for("the connection to one that drains to be closed", || server.num_closed() == 1);
         assert!(has_open_request(&node), "it is queued");
--- a/limiter/tests/connection_pool.rs
+++ b/limiter/tests/connection_pool.rs
@@ -75,7 +75,7 @@
     let server = &servers[0];
     let change = [removed_at("s-1", server.addr), serving("s-2", server)];
     node.discovery.send(&list_change(2, &change));
-    node.wait_log("Removed");
+    node.wait_log("state=removed");
     assert_eq!(read_response(&mut client).status, 200);
     pause_ms(50);
     assert_eq!(node.request(&idempotent_request()).status, 200);
--- a/limiter/tests/endpoint_list.rs
+++ b/limiter/tests/endpoint_list.rs
@@ -27,7 +27,8 @@
 fn changes_of_the_list_are_followed() {
     let (one, two) = (StubServer::responding("one"), StubServer::responding("two"));
     let node = NodeProcess::with_endpoints(&[serving("s-1", &one), serving("s-2", &two)], |c| c);
-    let changes = [(draining_at("s-1", one.addr), "Draining"), (removed_at("s-1", one.addr), "Removed")];
+    let changes =
+        [(draining_at("s-1", one.addr), "state=draining"), (removed_at("s-1", one.addr), "state=removed")];
     for (endpoint, logged) in changes {
         node.discovery.send(&list_change(2, &[endpoint]));
         node.wait_log(logged);
@@ -88,7 +89,7 @@
     // Far more than fit into the time of the test where a call is waited for as long as a watch.
     wait_for("calls, one after the other", || node.discovery.num_calls() >= num_before + 12);
     node.discovery.resume_with(&list_change(2, &[draining_at("s-1", one.addr)]));
-    node.wait_log("Draining");
+    node.wait_log("state=draining");
     let num_received = one.num_received();
     for _ in 0..10 {
         assert_eq!(node.request(&idempotent_request()).body, "two");
@@ -121,7 +122,7 @@
     // Two at once: a change, a heartbeat, the next change.
     let next = indent(&list_change(7, &[removed_at("s-1", one.addr), serving("s-2", &two)]));
     node.discovery.send(&format!("{change}\n\n{next}"));
-    node.wait_log("Removed");
+    node.wait_log("state=removed");
     assert_eq!(node.request(&idempotent_request()).body, "two");
     assert_eq!(node.discovery.num_calls(), 1, "one watch reads them all");
 }
@@ -151,7 +152,7 @@
         let discovery = StubDiscovery::slow(list, response_delay_ms);
         let node =
             NodeProcess::with_discovery(discovery, |c| c.with_discovery_mode(mode), DEFAULT_DESCRIPTORS);
-        node.wait_log("server s-1 at");
+        node.wait_log("endpoint changed server=s-1 ");
         wait_for("service", || node.request(&idempotent_request()).body == "fine");
     }
 }
@@ -162,7 +163,7 @@
     let server = StubServer::responding("fine");
     let discovery = StubDiscovery::failing_late(complete_list(1, &[serving("s-1", &server)]), 300, 8);
     let node = NodeProcess::with_discovery(discovery, |c| c, DEFAULT_DESCRIPTORS);
-    node.wait_log("server s-1 at");
+    node.wait_log("endpoint changed server=s-1 ");
     wait_for("service", || node.request(&idempotent_request()).body == "fine");
 }
 
@@ -196,7 +197,7 @@
         entries.join(",\n")
     );
     let node = NodeProcess::with_discovery(StubDiscovery::new(list), |c| c, DEFAULT_DESCRIPTORS);
-    node.wait_log("server s-00000000 at");
+    node.wait_log("endpoint changed server=s-00000000 ");
     node.wait_ready();
     assert_eq!(node.request(&idempotent_request()).body, "fine");
 }
--- a/limiter/tests/http_front_end.rs
+++ b/limiter/tests/http_front_end.rs
@@ -188,7 +188,7 @@
     let server = StubServer::responding("fine");
     let node = NodeProcess::with_descriptor_limit(&server, 24);
     let held: Vec<TcpStream> = (0..60).map(|_| node.connect()).collect();
-    node.wait_log("accept failed: ");
+    node.wait_log("accept failed error=");
     drop(held);
     wait_for("service", || node.request(&idempotent_request()).status == 200);
 }
--- a/limiter/tests/races.rs
+++ b/limiter/tests/races.rs
@@ -29,7 +29,7 @@
     let mut client = send_open_request(&node);
     let changes = [draining_at("s-1", server.addr), serving("s-2", &other)];
     node.discovery.send(&list_change(3, &changes));
-    node.wait_log("Draining");
+    node.wait_log("state=draining");
     let late = server.accept_all();
     assert_eq!(read_response(&mut client).body, "other");
     late.wait_for_count(1);
@@ -89,7 +89,7 @@
     let mut client = node.send(&request_with_key("k", "x").replace("Left: 3.0", "Left: 60"));
     wait_for("the first attempt", || first_server.num_received() == 1);
     node.discovery.send(&list_change(2, &[serving_at("s-2", late_server.addr)]));
-    node.wait_log("server s-2");
+    node.wait_log("endpoint changed server=s-2 ");
     gate.open();
     wait_for("the first attempt to break off", || first_server.num_closed() == 1);
     // The window counts from before the first attempt was received.
--- a/limiter/tests/reload.rs
+++ b/limiter/tests/reload.rs
@@ -28,7 +28,7 @@
     node.discovery.send(&list_change(7, &[draining_at("s-1", one.addr), serving("s-2", &two)]));
     wait_for("the old watch's change", || responds("two"));
     new_discovery.send(&complete_list(3, &[serving("s-1", &one)]));
-    node.wait_log("server s-1 at");
+    node.wait_log("endpoint changed server=s-1 ");
     wait_for("the new list", || responds("one"));
     node.discovery.send(&complete_list(8, &[serving("s-2", &two)]));
     node.wait_log("superseded by a newer source");
@@ -49,7 +49,7 @@
         let (old, new) = (node.discovery.addr.to_string(), new_discovery.addr.to_string());
         let whole = node.replace_configuration(half_written);
         node.signal("HUP");
-        node.wait_log("reload: ");
+        node.wait_log("configuration reload failed");
         node.replace_configuration(Some(&whole.replace(&old, &new)));
         wait_for("the new list", || node.request(&idempotent_request()).body == "two");
     }
@@ -61,7 +61,7 @@
     let server = StubServer::responding("fine");
     let node = NodeProcess::in_front_of(&server);
     node.reload(|configuration| configuration.replace_first("{", ""));
-    node.wait_log("keeping the old configuration");
+    node.wait_log("keeping current configuration");
     assert_eq!(node.request(&idempotent_request()).status, 200);
     node.discovery.send(&list_change(2, &[draining_at("s-1", server.addr)]));
     wait_for("the old watch's change", || !node.is_ready());
@@ -136,19 +136,19 @@
     program.configure(&old, || send_signal(program.child.id(), "HUP"));
     program.wait_log(LISTENING_LOG);
     program.configure(&new, || ());
-    program.wait_log("server s-2");
+    program.wait_log("endpoint changed server=s-2 ");
     let later = complete_list(9, &[serving("s-9", &elsewhere)]);
     old.resume_with(&later);
     if old.num_watches() > 0 {
         old.send(&later);
     }
-    let is_old_watch_over = || old.num_calls() == 0 || program.log().contains("is no longer watched");
+    let is_old_watch_over = || old.num_calls() == 0 || program.log().contains("endpoint watch superseded");
     wait_for("the old watch to end", is_old_watch_over);
     // The version of the configured list is one of the old source.
     let first_call = new.watch_requests().swap_remove(0);
     assert!(!first_call.contains("after="), "{first_call}");
     new.send(&list_change(2, &[serving("s-3", &server)]));
-    program.wait_log("server s-3");
+    program.wait_log("endpoint changed server=s-3 ");
     let log = program.log();
     let address = listening_address(&log).expect("an address");
     let mut client = TcpStream::connect(address).expect("connect");
--- a/limiter/tests/shutdown.rs
+++ b/limiter/tests/shutdown.rs
@@ -22,7 +22,7 @@
     let mut slow = node.send(&request_with_key("k1", "slow"));
     wait_for("the slow request to arrive", || server.num_received() == 2);
     node.signal("TERM");
-    node.wait_log("shutting down");
+    node.wait_log("shutdown started");
     assert_eq!(node.request(&idempotent_request()).status, 200, "new connections are still served");
     assert_eq!(exchange(&mut idle, &idempotent_request()).status, 200, "and those that are kept");
     assert_eq!(uninterrupted(|| idle.read(&mut [0; 16])).expect("a clean end"), 0, "closed between requests");
@@ -41,7 +41,7 @@
     let mut kept = node.connect();
     assert_eq!(exchange(&mut kept, &idempotent_request()).status, 200);
     node.signal("TERM");
-    node.wait_log("shutting down");
+    node.wait_log("shutdown started");
     // Requests are accepted for 2.4 s (3 s + 0.7 s - 0.3 s - 1 s): this is half of that.
     pause_ms(1200);
     assert_eq!(exchange(&mut kept, &idempotent_request()).status, 200);
@@ -88,7 +88,7 @@
     let mut clients: Vec<TcpStream> = (0..4).map(|n| node.send(&request(n))).collect();
     wait_for("the requests to arrive", || server.num_received() >= 4);
     node.signal("TERM");
-    node.wait_log("shutting down");
+    node.wait_log("shutdown started");
     clients.push(node.send(&request(9)));
     for client in &mut clients {
         assert_eq!(read_response(client).status, 502, "it may have run");
--- a/limiter/tests/shutdown_races.rs
+++ b/limiter/tests/shutdown_races.rs
@@ -82,7 +82,7 @@
         let mut resting = kept_connection(&node, "first");
         let mut silent = node.connect();
         node.signal("TERM");
-        node.wait_log("shutting down");
+        node.wait_log("shutdown started");
         let new = stall(&node, || {
             is_open(&resting).then(|| {
                 write_request(&mut resting, "resting").expect("write");
@@ -107,7 +107,7 @@
     let (server, mut node) = start();
     let resting = kept_connection(&node, "first");
     node.signal("TERM");
-    node.wait_log("shutting down");
+    node.wait_log("shutdown started");
     let ids: Vec<String> = (0..120).map(|n| format!("q-{n}")).collect();
     let mut waiting: Vec<TcpStream> = stall(&node, || {
         let sent = ids.iter().filter(|_| is_open(&resting)).map(|id| node.send(&patient_request(id)));
@@ -191,7 +191,7 @@
         .collect();
     wait_for("traffic", || server.num_received() > 100);
     node.signal("TERM");
-    node.wait_log("shutting down");
+    node.wait_log("shutdown started");
     stall(&node, || ());
     for client in sending {
         let SentRequests { num_answered, unanswered } = client.join().expect("complete responses");
--- a/limiter/tests/startup.rs
+++ b/limiter/tests/startup.rs
@@ -118,7 +118,7 @@
         let change = [draining_at("s-1", one.addr), serving("s-2", &two)];
         node.discovery.resume_with(&list_change(2, &change));
         let response = read_response(&mut client);
-        if node.has_logged("using the endpoint list of the configuration") {
+        if node.has_logged("using configured endpoint list") {
             continue;
         }
         assert_eq!((response.status, response.body.as_str()), (200, "two"));
@@ -156,7 +156,7 @@
     );
     peer.wait_ready();
     peer.discovery.send(&list_change(2, &[draining_at("s-1", one.addr)]));
-    peer.wait_log("Draining");
+    peer.wait_log("state=draining");
     let node = start_with_silent_discovery(|configuration| {
         configuration.without_latency_objective().with_known_servers(&list).with_peers(&addresses)
     });
@@ -185,7 +185,7 @@
         configuration.with_descriptors(DESCRIPTORS).with_known_servers(&known)
     };
     let node = NodeProcess::with_discovery(StubDiscovery::unresponsive(), alter, DESCRIPTORS);
-    node.wait_log("using the endpoint list of the configuration");
+    node.wait_log("using configured endpoint list");
     let hanging: Vec<TcpStream> = (0..30).map(|n| node.send(&patient_request(&format!("c-{n}")))).collect();
     wait_for("attempts on all connections", || hanging_server.num_received() >= 16);
     let (is_over, addr) = (Gate::default(), node.addr);
@@ -203,7 +203,7 @@
     wait_for("more calls", || node.discovery.num_calls() > num_calls + 5);
     let change = [draining_at("s-1", hanging_server.addr), serving("s-2", &good_server)];
     node.discovery.resume_with(&list_change(2, &change));
-    node.wait_log("server s-2");
+    node.wait_log("endpoint changed server=s-2 ");
     assert!(!node.has_logged("open files"), "no call or attempt lacks a descriptor");
     drop(hanging);
     is_over.open();
--- a/limiter/tests/stubs/node.rs
+++ b/limiter/tests/stubs/node.rs
@@ -16,7 +16,7 @@
 pub const DEFAULT_DESCRIPTORS: u32 = 1024;
 
 /// A line of the log that tells where the program listens, up to the address.
-pub const LISTENING_LOG: &str = "serves on ";
+pub const LISTENING_LOG: &str = "listening address=";
 
 /// The level of lines that tests show and do not look for.
 const DETAIL_LEVEL: &str = " DEBUG ";
--- a/limiter/tests/system_calls.rs
+++ b/limiter/tests/system_calls.rs
@@ -124,7 +124,7 @@
         node.reload(|configuration| configuration);
         assert!(try_exchange(&node, READINESS_REQUEST).is_some(), "the program has ended");
     }
-    node.wait_log("reload: nothing new");
+    node.wait_log("configuration reloaded, nothing changed");
     assert_stops(node);
 }
 
--- a/soak/src/fleet.rs
+++ b/soak/src/fleet.rs
@@ -155,7 +155,7 @@
         if let Some(stderr) = child.stderr.take() {
             let mut lines = BufReader::new(stderr).lines();
             while let Ok(Some(line)) = lines.next_line().await {
-                if line.contains("panicked") || line.contains("rule violated") {
+                if line.contains("panicked") || line.contains("invariant violated") {
                     self.fault(&line);
                 }
                 if let Some(log) = &mut log {
