--- a/limiter/src/config/mod.rs
+++ b/limiter/src/config/mod.rs
@@ -57,7 +57,7 @@
     /// The list of servers as it was last known; may be old.
     pub known_endpoints: Option<EndpointList>,
     /// Milliseconds after which an idle connection to a server is dropped.
-    pub server_idle_ms: Millis,
+    pub server_connection_idle_ms: Millis,
     /// For how long requests are accepted after SIGTERM.
     pub shutdown_accept_ms: Millis,
     /// How long after SIGTERM all of them are answered.
@@ -100,7 +100,7 @@
         let discovery = lookup.text(DISCOVERY_VARIABLE, "discovery", file.discovery.take())?.address()?;
         let seed = seed(&path, file.seed.as_deref())?;
         let bounds = SiteSettings::new(&file.settings);
-        let server_idle_ms = idle_ms(&path, bounds.server_idle_ms)?;
+        let server_connection_idle_ms = idle_ms(&path, bounds.server_idle_ms)?;
         let (settings, names) = file
             .settings
             .into_core()
@@ -119,7 +119,7 @@
             peer_listen: file.peer_listen,
             peers: file.peers,
             known_endpoints: file.known_endpoints.and_then(readable_list),
-            server_idle_ms,
+            server_connection_idle_ms,
             shutdown_accept_ms: shutdown.accept_ms,
             shutdown_response_ms: shutdown.response_ms,
             max_request_units: bounds.max_request_units,
--- a/limiter/src/engine/attempts.rs
+++ b/limiter/src/engine/attempts.rs
@@ -14,7 +14,7 @@
 impl Engine {
     /// An attempt has ended; its connection is closed or back in the pool by now. A response in time goes to the
     /// client; one for a request that has finished is dropped, yet the core takes its outcome in.
-    pub fn attempt_ended(self: &Rc<Self>, id: AttemptId, result: AttemptResult) {
+    pub fn record_attempt_end(self: &Rc<Self>, id: AttemptId, result: AttemptResult) {
         let mut state = self.state.borrow_mut();
         let Some(started_at) = state.pending.attempt_ended(id) else { return };
         let mut request_finished = !state.pending.contains(id.request);
@@ -77,7 +77,7 @@
             request: attempt.content,
             deadline: attempt.deadlines.deadline,
             server_deadline: attempt.deadlines.server_deadline,
-            begin_by: now + begin_within_ms,
+            latest_start: now + begin_within_ms,
         };
         self.upstream.start_attempt(self, job, cancelled);
     }
--- a/limiter/src/engine/endpoint_updates.rs
+++ b/limiter/src/engine/endpoint_updates.rs
@@ -32,7 +32,7 @@
     }
 
     /// Takes the endpoint list of the configuration for current, if discovery announces nothing in time.
-    pub async fn use_configured_list_after_patience(self: Rc<Self>) {
+    pub async fn fall_back_to_configured_endpoints(self: Rc<Self>) {
         tokio::time::sleep(duration::from_ms(self.discovery_patience_ms())).await;
         if let Some(list) = self.configured_list.take() {
             let waited_ms = self.discovery_patience_ms();
--- a/limiter/src/engine/mod.rs
+++ b/limiter/src/engine/mod.rs
@@ -123,18 +123,18 @@
     }
 
     /// Writes all counters to the log, one a line.
-    pub fn report_metrics(&self) {
+    pub fn log_counters(&self) {
         self.metrics.log_all();
     }
 
     /// Reports the end of the process: nothing may be pending any more.
-    pub fn report_end(&self) {
+    pub fn finish_shutdown(&self) {
         let pending = self.state.borrow().pending.len();
         if pending > 0 {
             let detail = format_args!("{pending} requests are pending at the end of the process");
             self.metrics.record_violation(Invariant::OneFinalResponse, &detail);
         }
-        self.report_metrics();
+        self.log_counters();
         tracing::info!("shutdown complete");
     }
 
--- a/limiter/src/engine/ports.rs
+++ b/limiter/src/engine/ports.rs
@@ -10,7 +10,7 @@
 
 /// Makes attempts at servers.
 pub trait Upstream {
-    /// Starts an attempt without waiting for it; its end is reported by [`Engine::attempt_ended`]. When `cancelled`
+    /// Starts an attempt without waiting for it; its end is reported by [`Engine::record_attempt_end`]. When `cancelled`
     /// yields an outcome, the connection is closed first and the attempt then ends with that.
     fn start_attempt(&self, engine: &Rc<Engine>, job: AttemptJob, cancelled: oneshot::Receiver<Outcome>);
 
--- a/limiter/src/engine/timers.rs
+++ b/limiter/src/engine/timers.rs
@@ -10,7 +10,7 @@
 use crate::observability::labels::ResponseOutcome;
 use crate::observability::metrics::Metrics;
 use crate::runtime::duration;
-use crate::runtime::event_loop::read_all_that_arrived;
+use crate::runtime::event_loop::read_pending_input;
 
 impl Engine {
     pub(super) fn set_timer(&self, state: &mut State, at: Millis, kind: TimerKind) {
@@ -22,12 +22,12 @@
     /// Fires timers when they are due, forever.
     pub async fn run_timers(self: Rc<Self>) {
         loop {
-            if let Some(stall) = self.arrival_clock.record_turn() {
+            if let Some(stall) = self.arrival_clock.record_iteration() {
                 self.metrics.process_stalls.inc();
                 tracing::debug!(stall_ms = duration::to_ms(stall), "process stalled");
                 // What has come meanwhile is taken in before timers decide as if it had not.
                 let pending = self.state.borrow().pending.len();
-                read_all_that_arrived(pending).await;
+                read_pending_input(pending).await;
             }
             let next = self.fire_due_timers();
             let changed = self.timers_changed.notified();
--- a/limiter/src/frontend/request_body.rs
+++ b/limiter/src/frontend/request_body.rs
@@ -52,7 +52,7 @@
     match body::read_body(&mut body).await {
         Ok(received) => Ok(received),
         Err(BodyError::TooLong) => Err(discard(body).await),
-        Err(BodyError::BrokenOff(_)) => Err(RequestBodyError::Incomplete),
+        Err(BodyError::Incomplete(_)) => Err(RequestBodyError::Incomplete),
     }
 }
 
--- a/limiter/src/frontend/shutdown.rs
+++ b/limiter/src/frontend/shutdown.rs
@@ -8,7 +8,7 @@
 use super::acceptor::Acceptor;
 use super::connections::Connections;
 use crate::runtime::duration;
-use crate::runtime::event_loop::read_all_that_arrived;
+use crate::runtime::event_loop::read_pending_input;
 
 /// A request that races with the end of its keep-alive connection is sent again on a new one: new connections are
 /// accepted for this much longer.
@@ -54,7 +54,7 @@
         if !may_exit(&self.facts(connections)) {
             return false;
         }
-        read_all_that_arrived(connections.len()).await;
+        read_pending_input(connections.len()).await;
         may_exit(&self.facts(connections))
     }
 
@@ -74,7 +74,7 @@
     async fn shut_down_connections_if_due(&mut self, connections: &Connections) {
         let NextStep::ShutDownConnections = self.next_step else { return };
         if self.signalled_at.elapsed() >= self.serve_for {
-            read_all_that_arrived(connections.len()).await;
+            read_pending_input(connections.len()).await;
             connections.shut_down();
             self.next_step = NextStep::CloseListener { shut_down_at: Instant::now() };
         }
--- a/limiter/src/main.rs
+++ b/limiter/src/main.rs
@@ -89,13 +89,13 @@
     tokio::task::spawn_local(engine.clone().run_timers());
     tokio::task::spawn_local(upstream::close_expired_connections(servers));
     tokio::task::spawn_local(discovery::run(engine.clone(), watch_target.clone()));
-    tokio::task::spawn_local(engine.clone().use_configured_list_after_patience());
+    tokio::task::spawn_local(engine.clone().fall_back_to_configured_endpoints());
     tokio::task::spawn_local(reload::reload_on_hangup(signals.clone(), watch_target));
     tokio::task::spawn_local(report_on_request(signals.clone(), engine.clone()));
     let passed_on = signals.clone();
     tokio::task::spawn_local(async move { passed_on.run().await });
     frontend::serve(&engine, listener, signals.stop_requested()).await;
-    engine.report_end();
+    engine.finish_shutdown();
     Ok(())
 }
 
@@ -103,7 +103,7 @@
 async fn report_on_request(signals: Rc<Signals>, engine: Rc<Engine>) {
     loop {
         signals.report_requested().await;
-        engine.report_metrics();
+        engine.log_counters();
     }
 }
 
--- a/limiter/src/messages/attempt.rs
+++ b/limiter/src/messages/attempt.rs
@@ -29,7 +29,7 @@
     /// When it may give up at the earliest, which is what the server is told.
     pub server_deadline: Millis,
     /// The attempt must not begin later than this.
-    pub begin_by: Millis,
+    pub latest_start: Millis,
 }
 
 /// How an attempt ended.
--- a/limiter/src/messages/body.rs
+++ b/limiter/src/messages/body.rs
@@ -15,7 +15,7 @@
     TooLong,
     /// The connection failed before its end.
     #[error("the body broke off: {0}")]
-    BrokenOff(hyper::Error),
+    Incomplete(hyper::Error),
 }
 
 /// Reads a body to its end. One that announces more than [`MAX_BODY_BYTES`] is not waited for; what follows of one that
@@ -29,7 +29,7 @@
     }
     let mut received = BytesMut::new();
     while let Some(frame) = body.frame().await {
-        let frame = frame.map_err(BodyError::BrokenOff)?;
+        let frame = frame.map_err(BodyError::Incomplete)?;
         let Some(data) = frame.data_ref() else { continue };
         if received.len() + data.len() > MAX_BODY_BYTES {
             return Err(BodyError::TooLong);
--- a/limiter/src/runtime/arrival.rs
+++ b/limiter/src/runtime/arrival.rs
@@ -58,7 +58,7 @@
 
     /// The event loop has taken a turn; for how long the process was held up before, if it was. To be called at least
     /// once in [`MAX_TURN`].
-    pub fn record_turn(&self) -> Option<Duration> {
+    pub fn record_iteration(&self) -> Option<Duration> {
         let now = Instant::now();
         let last = self.last_turn.replace(now);
         let turn = now.saturating_duration_since(last);
--- a/limiter/src/runtime/event_loop.rs
+++ b/limiter/src/runtime/event_loop.rs
@@ -9,7 +9,7 @@
 /// Lets everything that has arrived on so many connections be read. After a stall (no CPU for a while) timers fire first:
 /// a wait for I/O that a stop of the process interrupted reports no events, and tokio tries no read or accept before an
 /// event has reported it. Cancelling leaves the rest for later turns.
-pub async fn read_all_that_arrived(num_connections: usize) {
+pub async fn read_pending_input(num_connections: usize) {
     for _ in 0..MIN_TURNS + num_connections / CONNECTIONS_PER_TURN {
         tokio::task::yield_now().await;
     }
--- a/limiter/src/upstream/attempt.rs
+++ b/limiter/src/upstream/attempt.rs
@@ -113,7 +113,7 @@
     let facts = SendFacts {
         is_client_waiting: engine.is_client_waiting(job.id.request),
         is_serving: engine.serving_address(&job.server) == Some(address),
-        begin_within_ms: job.begin_by - now,
+        begin_within_ms: job.latest_start - now,
         deadline_in_ms: job.deadline - now,
     };
     rules::may_send(&facts).map_err(AttemptError::Refused)
--- a/limiter/src/upstream/mod.rs
+++ b/limiter/src/upstream/mod.rs
@@ -39,7 +39,10 @@
     /// Servers reached under this configuration.
     pub fn new(config: &Config) -> Rc<Servers> {
         Rc::new(Servers {
-            pool: RefCell::new(ConnectionPool::new(config.max_server_connections, config.server_idle_ms)),
+            pool: RefCell::new(ConnectionPool::new(
+                config.max_server_connections,
+                config.server_connection_idle_ms,
+            )),
             connect_timeout_ms: config.settings.connect_timeout_ms.max(MIN_CONNECT_TIMEOUT_MS),
             max_request_units: config.max_request_units,
         })
@@ -111,7 +114,7 @@
             })
         }
     };
-    engine.attempt_ended(job.id, result);
+    engine.record_attempt_end(job.id, result);
 }
 
 /// Closes idle connections in time, forever.
