--- a/limiter/src/observability/labels.rs
+++ b/limiter/src/observability/labels.rs
@@ -55,8 +55,7 @@
         Rejected => "rejected",
         /// The client was sent an error: the request may have run.
         Failed => "failed",
-        /// The engine failed the request at its deadline, before the decisions had ended it. Such a request is also
-        /// counted as failed if the decisions end it later.
+        /// The engine sent the client an error at the deadline, because the decisions had not ended the request before.
         FailedAtDeadline => "failed_at_deadline",
         /// The client disconnected before the final response.
         ClientDisconnected => "client_disconnected",
--- a/limiter/src/observability/tests.rs
+++ b/limiter/src/observability/tests.rs
@@ -1,11 +1,27 @@
+//! Compares `docs/operations.md` with the log events in the sources and the counters in the registry.
+
+mod operations_page;
+mod source_events;
+
+use std::collections::BTreeSet;
+use std::fmt::Debug;
+use std::path::PathBuf;
+
 use super::labels::{
     AttemptOutcome, ClientCloseReason, InvalidRequestReason, Invariant, ResponseOutcome,
     ServerConnectionOutcome, WatchEndReason,
 };
 use super::metrics::Metrics;
+use operations_page::OperationsPage;
+use source_events::{read_sources, LoggedEvent};
+
+/// Returns the root of the repository.
+fn repository() -> PathBuf {
+    PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("..")
+}
 
-/// Counts one event under each label value of each counter, and returns the lines of all counters.
-fn counter_lines() -> Vec<String> {
+/// Counts one event under each label value of each counter, and returns all counters in the text format.
+fn all_counters() -> String {
     let metrics = Metrics::new();
     ResponseOutcome::ALL.iter().for_each(|label| Metrics::count(&metrics.responses, *label));
     InvalidRequestReason::ALL.iter().for_each(|label| Metrics::count(&metrics.invalid_requests, *label));
@@ -16,15 +32,30 @@
         .for_each(|label| Metrics::count(&metrics.client_connections_closed, *label));
     WatchEndReason::ALL.iter().for_each(|label| Metrics::count(&metrics.endpoint_watches_ended, *label));
     Invariant::ALL.iter().for_each(|label| Metrics::count(&metrics.invariant_violations, *label));
-    metrics.text().lines().map(str::to_string).collect()
+    metrics.text()
+}
+
+/// Returns the names of all counters with their labels, as the log has them.
+fn counter_names() -> BTreeSet<String> {
+    let text = all_counters();
+    let lines = text.lines().filter(|line| !line.starts_with('#'));
+    lines.map(|line| line.rsplit_once(' ').expect("a value").0.to_string()).collect()
+}
+
+/// Asserts that the code and the page have the same rows, and names those that only one of them has.
+fn assert_same<T: Ord + Debug>(what: &str, in_code: &BTreeSet<T>, on_page: &BTreeSet<T>) {
+    let missing: Vec<&T> = in_code.difference(on_page).collect();
+    let stale: Vec<&T> = on_page.difference(in_code).collect();
+    assert!(missing.is_empty(), "{what} that docs/operations.md does not have: {missing:#?}");
+    assert!(stale.is_empty(), "{what} that only docs/operations.md has: {stale:#?}");
 }
 
 #[test]
 fn every_counter_has_a_series_in_snake_case() {
-    let lines = counter_lines();
-    let counters = lines.iter().filter_map(|line| line.strip_prefix("# TYPE ")?.strip_suffix(" counter"));
+    let text = all_counters();
+    let counters = text.lines().filter_map(|line| line.strip_prefix("# TYPE ")?.strip_suffix(" counter"));
     for counter in counters {
-        let series: Vec<&String> = lines.iter().filter(|line| line.starts_with(counter)).collect();
+        let series: Vec<&str> = text.lines().filter(|line| line.starts_with(counter)).collect();
         assert!(!series.is_empty(), "{counter} has no series");
         for line in series {
             let name = line.split_once(' ').expect("a value").0;
@@ -32,6 +63,19 @@
             assert!(name.chars().all(is_plain), "{name}");
         }
     }
-    assert!(lines.contains(&"limiter_requests_total 0".to_string()));
-    assert!(lines.contains(&"limiter_attempts_total{outcome=\"timed_out\"} 1".to_string()));
+    assert!(text.lines().any(|line| line == "limiter_requests_total 0"));
+    assert!(text.lines().any(|line| line == "limiter_attempts_total{outcome=\"timed_out\"} 1"));
+}
+
+#[test]
+fn the_operations_page_has_every_log_event() {
+    let events: BTreeSet<LoggedEvent> =
+        read_sources().iter().flat_map(|source| source_events::events_in(source)).collect();
+    assert!(events.len() > 20, "the sources are searched for events");
+    assert_same("events", &events, &OperationsPage::read().events());
+}
+
+#[test]
+fn the_operations_page_has_every_counter_and_label_value() {
+    assert_same("counters", &counter_names(), &OperationsPage::read().counters());
 }
