--- a/fault-shim/src/lib.rs
+++ b/fault-shim/src/lib.rs
@@ -1,8 +1,9 @@
-//! A library to preload (`LD_PRELOAD`) into a process under test. Its system calls on sockets fail, are interrupted or
-//! come short as the manual pages of Linux document it, and its wall clock is stepped.
+//! A library to preload (`LD_PRELOAD`) into a process under test. Its system calls on sockets fail, are
+//! interrupted or come short as the manual pages of Linux document it, and its wall clock is stepped.
 //!
-//! The environment says how often, in calls of a thousand; see [`mod@plan`]. This is the one place of the project where
-//! `unsafe` is allowed: each function here stands in front of the one of the C library with its name and signature.
+//! The environment says how often, in calls of a thousand; see [`mod@plan`]. This is the one place of the
+//! project where `unsafe` is allowed: each function here stands in front of the one of the C library with its
+//! name and signature.
 
 pub mod plan;
 mod real;
@@ -18,7 +19,8 @@
 /// State of the generator that decides which calls fail.
 static RANDOM: AtomicU64 = AtomicU64::new(0);
 
-/// The next random number (SplitMix64: Steele, Lea and Flood, "Fast splittable pseudorandom number generators").
+/// The next random number (SplitMix64: Steele, Lea and Flood, "Fast splittable pseudorandom number
+/// generators").
 fn random() -> u64 {
     let mut z = RANDOM.fetch_add(0x9e37_79b9_7f4a_7c15, Ordering::Relaxed).wrapping_add(plan().seed);
     z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -221,7 +223,8 @@
     }
 }
 
-/// Stands before the function of the C library with this name. One that is interrupted goes on in the background.
+/// Stands before the function of the C library with this name. One that is interrupted goes on in the
+/// background.
 ///
 /// # Safety
 /// As for that function.
--- a/soak/src/addresses.rs
+++ b/soak/src/addresses.rs
@@ -1,49 +1,54 @@
-//! Loopback addresses of all parties of a run: each run takes a network of its own, so that several go side by side.
+//! Loopback addresses of all parties of a run. Each run uses its own network, so that several runs can share
+//! a host.
 
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
 
-/// Where everything listens.
+/// The addresses of one run.
 #[derive(Debug, Clone, Copy)]
 pub struct Addresses {
     network: u8,
 }
 
-/// Addresses of one kind in a network.
-const PER_BLOCK: usize = 250;
+/// Agents of discovery for each limiter. A configuration reload moves a limiter from one to the other.
+pub const AGENTS_PER_LIMITER: usize = 2;
+/// Number of addresses in a block, the third byte of an address.
+const ADDRESSES_PER_BLOCK: usize = 250;
 
 impl Addresses {
-    /// The addresses of this process: the second byte follows from its id.
+    /// Returns the addresses of this process. The second byte of each address is derived from the process id.
     pub fn of_process() -> Addresses {
         Addresses { network: 1 + (std::process::id() % 250) as u8 }
     }
 
     fn at(self, block: usize, number: usize, port: u16) -> SocketAddr {
-        let (block, host) = (block + number / PER_BLOCK, 1 + number % PER_BLOCK);
+        let block = block + number / ADDRESSES_PER_BLOCK;
+        let host = 1 + number % ADDRESSES_PER_BLOCK;
         SocketAddr::V4(SocketAddrV4::new(Ipv4Addr::new(127, self.network, block as u8, host as u8), port))
     }
 
-    /// Where clients reach a limiter.
+    /// Returns the address on which a limiter accepts clients.
     pub fn limiter(self, limiter: usize) -> SocketAddr {
         self.at(1, limiter, 3000)
     }
 
-    /// Where messages of other limiters reach a limiter.
+    /// Returns the address on which a limiter receives gossip.
     pub fn gossip(self, limiter: usize) -> SocketAddr {
         self.at(1, limiter, 7946)
     }
 
-    /// Where the others send messages to a limiter: a stand-in for the network.
+    /// Returns the address to which peers send gossip for a limiter: the stand-in for the network listens
+    /// there.
     pub fn gossip_proxy(self, limiter: usize) -> SocketAddr {
         self.at(2, limiter, 7946)
     }
 
-    /// One of the two agents of a limiter through which it reaches discovery.
+    /// Returns the address of one of a limiter's agents of discovery.
     pub fn discovery(self, limiter: usize, agent: usize) -> SocketAddr {
         self.at(3 + agent, limiter, 8500)
     }
 
-    /// Where a server listens.
-    pub fn server(self, place: usize) -> SocketAddr {
-        self.at(10, place, 3000)
+    /// Returns one of the server addresses.
+    pub fn server(self, index: usize) -> SocketAddr {
+        self.at(10, index, 3000)
     }
 }
--- a/soak/src/cost.rs
+++ b/soak/src/cost.rs
@@ -1,7 +1,8 @@
-//! What one limiter needs before a list of many servers: processor time, memory, descriptors, connections.
+//! Measures the resources that one limiter needs with a long endpoint list: processor time, memory and
+//! descriptors.
 
 use std::net::SocketAddr;
-use std::path::PathBuf;
+use std::path::{Path, PathBuf};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
@@ -12,148 +13,198 @@
 
 use crate::addresses::Addresses;
 use crate::clients::Clients;
-use crate::discovery::{Discovery, Listed, State};
-use crate::fleet::{Launch, Limiter};
-use crate::record::{ServerHistory, SharedRecord};
-use crate::server::Server;
-use crate::site::{Site, CELLS, ZONES};
+use crate::deployment::{Deployment, NUM_CELLS, ZONES};
+use crate::discovery::{Discovery, EndpointState, ListedServer};
+use crate::limiter_process::{LaunchOptions, LimiterProcess, Usage};
+use crate::record::{Record, ServerRecord, SharedRecord};
+use crate::server::{Server, ServerOptions};
 
-/// Servers that really listen; the others on the list are at their addresses.
-const LISTENING: usize = 12;
-/// Kernel ticks a second, as `/proc` counts processor time.
+/// Servers that run. All servers of the list are announced at their addresses.
+const NUM_RUNNING_SERVERS: usize = 12;
+/// Kernel ticks per second, the unit of processor time in `/proc`.
 const TICKS_PER_S: f64 = 100.0;
+/// Seed of the deployment and of discovery.
+const SEED: u64 = 1;
+/// Seed of the clients.
+const CLIENTS_SEED: u64 = 2;
+/// Servers close connections that have been idle for this time.
+const SERVER_IDLE_TIMEOUT: Duration = Duration::from_secs(10);
+/// Latency of the servers.
+const SERVER_LATENCY: Duration = Duration::from_millis(10);
+/// Lowest rate of list changes per second.
+const MIN_CHANGE_RATE: f64 = 1e-3;
+/// Distance in the list between two servers that change one after the other.
+const CHANGE_STEP: usize = 7;
 
 /// What is measured.
 #[derive(Args, Clone)]
-pub struct Options {
+pub struct CostOptions {
     /// Servers on the list.
     #[arg(long, default_value_t = 200)]
     servers: usize,
     /// Limiters by the settings; one runs.
     #[arg(long, default_value_t = 300)]
     limiters: usize,
-    /// Requests a second.
+    /// Requests per second.
     #[arg(long, default_value_t = 60.0)]
     rate: f64,
-    /// Changes of the list a second.
+    /// Changes of the list per second.
     #[arg(long, default_value_t = 2.0)]
     changes: f64,
-    /// Resets of all watches a second: each is answered with the complete list.
+    /// Resets of all watches per second; each new watch begins with the complete list.
     #[arg(long, default_value_t = 0.0)]
     resets: f64,
-    /// For how long.
+    /// Duration in seconds.
     #[arg(long, default_value_t = 20)]
     seconds: u64,
-    /// The limiter.
+    /// The limiter program.
     #[arg(long, default_value = "target/release/limiter")]
     program: PathBuf,
 }
 
-/// Measures and prints one line.
+/// Measures the resources of one limiter and prints one line.
 ///
 /// # Errors
-/// What keeps the stand-ins from listening.
-pub async fn measure(options: &Options) -> std::io::Result<()> {
-    let mut rng = StdRng::seed_from_u64(1);
-    let mut site = Site::draw(&mut rng, 1, options.servers);
-    site.limiters = options.limiters;
-    (site.rate_per_s, site.subscribes, site.clock_offset_s) = (options.rate, false, 0);
-    site.idle_close = Duration::from_secs(10);
-    site.classes.truncate(1);
-    site.plans.truncate(1);
-    let (addresses, record) = (Addresses::of_process(), Arc::new(SharedRecord::default()));
-    let discovery = Discovery::new(record.clone(), 1);
+/// A stand-in cannot listen, or the program or the folder does not exist.
+pub async fn measure(options: &CostOptions) -> std::io::Result<()> {
+    let deployment = deployment(options);
+    let addresses = Addresses::of_process();
+    let record = Arc::new(SharedRecord::default());
+    let discovery = Discovery::new(record.clone(), SEED);
     discovery.listen(0, addresses.discovery(0, 0))?;
-    let listening = start_servers(&site, addresses, &record)?;
-    let listed = |number: usize| {
-        let address: SocketAddr = listening[number % listening.len()];
-        let name = format!("s-{number:05}");
-        Listed::active(number, name, address, number % ZONES.len(), number as u32 % CELLS, false)
-    };
+    let list = ServerList { addresses: start_servers(&deployment, addresses, &record)? };
     for number in 0..options.servers {
-        record.lock().servers.push(history(number));
-        discovery.announce(listed(number));
+        record.lock().servers.push(server_record(number));
+        discovery.announce(list.entry(number));
     }
     let folder = std::env::temp_dir().join(format!("soak-cost-{}", std::process::id()));
     std::fs::create_dir_all(&folder)?;
-    let program = options.program.canonicalize()?;
-    let launch = Launch {
-        program,
-        folder: folder.clone(),
-        log_level: "info",
-        addresses,
-        site: site.clone(),
-        faults: Vec::new(),
-        library: None,
-    };
-    let limiter = Limiter::new(0, Arc::new(launch), discovery.clone(), record.clone());
+    let launch_options = launch_options(options, &deployment, addresses, &folder)?;
+    let limiter = LimiterProcess::new(0, Arc::new(launch_options), discovery.clone(), record.clone());
     limiter.start(discovery.complete_list()).await;
-    let clients = Clients::new(site, vec![limiter.clone()], record.clone());
-    clients.set_leaving_per_mille(0);
+    let clients = Clients::new(deployment, vec![limiter.clone()], record.clone());
+    clients.set_disconnecting_per_mille(0);
     let until = Instant::now() + Duration::from_secs(options.seconds);
-    let load = tokio::spawn(clients.run(2, until));
-    let resetting = tokio::spawn(reset_watches(discovery.clone(), options.resets, until));
-    change_list(&discovery, &listed, options, until).await;
-    let _ = resetting.await;
-    let _ = load.await;
+    let load = tokio::spawn(clients.run(CLIENTS_SEED, until));
+    let resets = tokio::spawn(reset_watches(discovery.clone(), options.resets, until));
+    change_list(&discovery, &list, options, until).await;
+    let _ = tokio::join!(load, resets);
     let usage = limiter.usage();
     limiter.terminate().await;
-    let record = record.lock();
+    print_result(options, &usage, &record.lock());
+    std::fs::remove_dir_all(&folder)
+}
+
+/// Returns a deployment with one class and one plan, so that the settings do not change the load.
+fn deployment(options: &CostOptions) -> Deployment {
+    let mut rng = StdRng::seed_from_u64(SEED);
+    let mut deployment = Deployment::draw(&mut rng, 1, options.servers);
+    deployment.limiters = options.limiters;
+    deployment.rate_per_s = options.rate;
+    deployment.subscribes = false;
+    deployment.clock_offset_s = 0;
+    deployment.server_idle_timeout = SERVER_IDLE_TIMEOUT;
+    deployment.classes.truncate(1);
+    deployment.plans.truncate(1);
+    deployment
+}
+
+fn launch_options(
+    options: &CostOptions,
+    deployment: &Deployment,
+    addresses: Addresses,
+    folder: &Path,
+) -> std::io::Result<LaunchOptions> {
+    Ok(LaunchOptions {
+        program: options.program.canonicalize()?,
+        folder: folder.to_path_buf(),
+        log_level: "info",
+        addresses,
+        deployment: deployment.clone(),
+        library: None,
+        library_environment: Vec::new(),
+    })
+}
+
+fn print_result(options: &CostOptions, usage: &Usage, record: &Record) {
     println!(
         "{} servers, {} limiters: {:.2} s of processor time, {} kB at most, {} descriptors, {} requests, {} attempts",
         options.servers,
         options.limiters,
         usage.ticks as f64 / TICKS_PER_S,
-        usage.peak_kb,
-        usage.descriptors,
+        usage.peak_memory_kb,
+        usage.num_descriptors,
         record.requests.len(),
         record.attempts.len(),
     );
-    std::fs::remove_dir_all(&folder)
-}
-
-fn history(number: usize) -> ServerHistory {
-    let (name, zone) = (format!("s-{number:05}"), number % ZONES.len());
-    ServerHistory { name, zone, cell: number as u32 % CELLS, started: None, withdrawn: None }
 }
 
 fn start_servers(
-    site: &Site,
+    deployment: &Deployment,
     addresses: Addresses,
     record: &Arc<SharedRecord>,
 ) -> std::io::Result<Vec<SocketAddr>> {
-    let start = |place| {
-        let (address, latency) = (addresses.server(place), Duration::from_millis(10));
-        Server::start(0, place, address, latency, None, site, record.clone()).map(|_| address)
-    };
-    (0..LISTENING).map(start).collect()
+    let mut started = Vec::new();
+    for address_index in 0..NUM_RUNNING_SERVERS {
+        let address = addresses.server(address_index);
+        let latency = SERVER_LATENCY;
+        let options = ServerOptions { number: 0, address_index, address, latency, cold_since: None };
+        Server::start(&options, deployment, record.clone())?;
+        started.push(address);
+    }
+    Ok(started)
+}
+
+/// A long list of servers that share the addresses of the running ones.
+struct ServerList {
+    addresses: Vec<SocketAddr>,
+}
+
+impl ServerList {
+    fn entry(&self, number: usize) -> ListedServer {
+        let address = self.addresses[number % self.addresses.len()];
+        let ServerRecord { name, zone, cell, .. } = server_record(number);
+        ListedServer::serving(number, name, address, zone, cell, false)
+    }
+}
+
+fn server_record(number: usize) -> ServerRecord {
+    ServerRecord {
+        name: format!("s-{number:05}"),
+        zone: number % ZONES.len(),
+        cell: number as u32 % NUM_CELLS,
+        started_at: None,
+        withdrawn_at: None,
+    }
 }
 
-/// Ends all watches so many times a second, and has the next ones begin with the complete list.
+/// Resets all watches at the given rate and makes the next ones begin with the complete list. Does nothing at
+/// a rate of 0.
 async fn reset_watches(discovery: Arc<Discovery>, per_s: f64, until: Instant) {
-    discovery.set_always_complete(per_s > 0.0);
+    if per_s <= 0.0 {
+        return;
+    }
+    discovery.set_always_complete(true);
     let mut due = Instant::now();
-    while per_s > 0.0 && due < until {
+    while due < until {
         due += Duration::from_secs_f64(1.0 / per_s);
         sleep_until(due.min(until).into()).await;
         discovery.reset_watches();
     }
 }
 
-/// Has servers drain and come back, in turn.
-async fn change_list(
-    discovery: &Discovery,
-    listed: &impl Fn(usize) -> Listed,
-    options: &Options,
-    until: Instant,
-) {
-    let (mut due, mut number) = (Instant::now(), 0);
+/// Announces at the given rate that a server drains, or that the same server serves again.
+async fn change_list(discovery: &Discovery, list: &ServerList, options: &CostOptions, until: Instant) {
+    let interval = Duration::from_secs_f64(1.0 / options.changes.max(MIN_CHANGE_RATE));
+    let mut due = Instant::now();
+    let mut num_changes = 0;
     while due < until {
-        due += Duration::from_secs_f64(1.0 / options.changes.max(1e-3));
+        due += interval;
         sleep_until(due.min(until).into()).await;
-        let mut server = listed(number / 2 * 7 % options.servers);
-        server.state = if number % 2 == 0 { State::Leaving } else { State::Active };
-        discovery.announce(server);
-        number += 1;
+        let number = num_changes / 2 * CHANGE_STEP % options.servers;
+        let is_drain = num_changes % 2 == 0;
+        let state = if is_drain { EndpointState::Draining } else { EndpointState::Serving };
+        discovery.announce(list.entry(number).with_state(state));
+        num_changes += 1;
     }
 }
--- /dev/null
+++ b/soak/src/discovery/watch.rs
@@ -0,0 +1,154 @@
+//! How discovery serves one watch: the answer to the request, the changes, keep-alives, and faults.
+
+use std::sync::atomic::Ordering;
+use std::sync::Arc;
+use std::time::{Duration, Instant};
+
+use rand::rngs::SmallRng;
+use rand::{Rng, SeedableRng};
+use serde_json::Value;
+use tokio::io::AsyncWriteExt;
+use tokio::sync::watch::Receiver;
+use tokio::time::{sleep, timeout};
+
+use super::list::Announcement;
+use super::{Availability, Discovery};
+use crate::http::{Connection, MessageKind};
+use crate::net;
+use crate::record::NotificationKey;
+
+/// Interval of keep-alives on an open watch.
+const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(2);
+/// A keep-alive: a chunk with an empty line.
+const KEEP_ALIVE: &[u8] = b"1\r\n\n\r\n";
+/// Timeout of the request that opens a watch.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
+/// The head of each response.
+const RESPONSE_HEAD: &[u8] = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+
+/// The other side of a connection closed it, or a write failed.
+struct ConnectionClosed;
+
+/// The limiter that opened a watch.
+#[derive(Debug, Clone, Copy)]
+struct Watcher {
+    limiter: usize,
+    incarnation: usize,
+}
+
+impl Discovery {
+    /// Serves a connection of a limiter's agent: one request, and a watch until its end.
+    pub(super) async fn serve(self: Arc<Self>, limiter: usize, mut connection: Connection) {
+        net::reset_on_close(&connection.stream);
+        let Ok(Ok(request)) = timeout(REQUEST_TIMEOUT, connection.read(MessageKind::Request)).await else {
+            return;
+        };
+        let num_incarnations = self.record.lock().incarnations.get(&limiter).map_or(0, Vec::len);
+        let watcher = Watcher { limiter, incarnation: num_incarnations.saturating_sub(1) };
+        let mut availability = self.availability.subscribe();
+        if refuses(&mut availability).await {
+            return;
+        }
+        let after = self.requested_version(&request.path);
+        if self.delay(&mut connection).await.is_err() {
+            return;
+        }
+        if connection.stream.write_all(RESPONSE_HEAD).await.is_ok() {
+            // The watch ends with its connection.
+            let _ = self.watch(watcher, after, connection).await;
+        }
+    }
+
+    fn requested_version(&self, path: &str) -> Option<u64> {
+        if self.always_complete.load(Ordering::SeqCst) {
+            return None;
+        }
+        path.split("after=").nth(1)?.parse().ok()
+    }
+
+    /// Writes changes and keep-alives until the connection ends, watches are reset, or discovery refuses
+    /// connections.
+    async fn watch(
+        &self,
+        watcher: Watcher,
+        mut after: Option<u64>,
+        mut connection: Connection,
+    ) -> Result<(), ConnectionClosed> {
+        let mut rng = SmallRng::seed_from_u64(self.seed ^ Instant::now().elapsed().as_nanos() as u64);
+        let mut version = self.version.subscribe();
+        let mut resets = self.resets.subscribe();
+        let mut availability = self.availability.subscribe();
+        resets.borrow_and_update();
+        loop {
+            if refuses(&mut availability).await {
+                return Ok(());
+            }
+            let current = *version.borrow_and_update();
+            if after != Some(current) {
+                self.delay(&mut connection).await?;
+                let announcement = self.list().announcement(after);
+                write_object(&mut connection, &announcement.object, &mut rng).await?;
+                self.record_notifications(watcher, &announcement);
+                after = Some(current);
+                continue;
+            }
+            tokio::select! {
+                _ = version.changed() => {}
+                _ = resets.changed() => return Ok(()),
+                _ = availability.changed() => {}
+                () = connection.closed_by_peer() => return Err(ConnectionClosed),
+                () = sleep(KEEP_ALIVE_INTERVAL) => write(&mut connection, KEEP_ALIVE).await?,
+            }
+        }
+    }
+
+    /// Waits for the present delay of discovery.
+    async fn delay(&self, connection: &mut Connection) -> Result<(), ConnectionClosed> {
+        let delay = Duration::from_millis(self.delay_ms.load(Ordering::SeqCst));
+        if !delay.is_zero() && timeout(delay, connection.closed_by_peer()).await.is_ok() {
+            return Err(ConnectionClosed);
+        }
+        Ok(())
+    }
+
+    fn record_notifications(&self, watcher: Watcher, announcement: &Announcement) {
+        let Watcher { limiter, incarnation } = watcher;
+        let key = |server| NotificationKey { limiter, incarnation, server };
+        let mut record = self.record.lock();
+        for server in &announcement.withdrawn {
+            record.withdrawals_notified.entry(key(*server)).or_insert_with(Instant::now);
+        }
+        for server in &announcement.serving {
+            record.starts_notified.entry(key(*server)).or_insert_with(Instant::now);
+        }
+    }
+}
+
+/// Waits while discovery is silent. Returns whether discovery refuses connections after that.
+async fn refuses(availability: &mut Receiver<Availability>) -> bool {
+    let current = availability.wait_for(|availability| *availability != Availability::Silent).await;
+    current.is_ok_and(|availability| *availability == Availability::Refusing)
+}
+
+async fn write(connection: &mut Connection, bytes: &[u8]) -> Result<(), ConnectionClosed> {
+    connection.stream.write_all(bytes).await.map_err(|_| ConnectionClosed)
+}
+
+/// Writes an object in one chunk or two, on one line or indented.
+async fn write_object(
+    connection: &mut Connection,
+    object: &Value,
+    rng: &mut SmallRng,
+) -> Result<(), ConnectionClosed> {
+    let text = if rng.random_bool(0.5) { format!("{object}\n") } else { format!("{object:#}\n") };
+    let split_at = if rng.random_bool(0.3) { rng.random_range(1..text.len()) } else { text.len() };
+    let (first, second) = text.as_bytes().split_at(split_at);
+    for part in [first, second] {
+        if part.is_empty() {
+            continue;
+        }
+        let chunk = [format!("{:x}\r\n", part.len()).as_bytes(), part, b"\r\n"].concat();
+        write(connection, &chunk).await?;
+    }
+    Ok(())
+}
--- /dev/null
+++ b/soak/src/faults/discovery.rs
@@ -0,0 +1,48 @@
+//! Faults of discovery: outages, resets of watches, and slow answers.
+
+use std::time::{Duration, Instant};
+
+use rand::rngs::SmallRng;
+use rand::Rng;
+use tokio::time::sleep;
+
+use super::random_ms;
+use crate::discovery::Availability;
+use crate::harness::Harness;
+use crate::record::Outage;
+
+/// Usual bound on the duration of an outage in milliseconds.
+const MAX_OUTAGE_MS: u64 = 6000;
+/// Bound on the duration of every fifth outage in milliseconds.
+const MAX_LONG_OUTAGE_MS: u64 = 12_000;
+
+/// Makes discovery refuse connections or stay silent.
+pub async fn outage(harness: &Harness, rng: &mut SmallRng) {
+    let availability = if rng.random_bool(0.5) { Availability::Refusing } else { Availability::Silent };
+    let max_ms = if rng.random_bool(0.2) { MAX_LONG_OUTAGE_MS } else { MAX_OUTAGE_MS };
+    let duration = random_ms(rng, 300, max_ms);
+    harness.record.record_event(format!("discovery is {availability:?} for {duration:?}"));
+    let from = Instant::now();
+    harness.discovery.set_availability(availability);
+    sleep(duration).await;
+    harness.discovery.set_availability(Availability::Available);
+    harness.record.lock().outages.push(Outage { from, to: Instant::now() });
+}
+
+/// Resets all watches.
+pub fn reset_watches(harness: &Harness) {
+    harness.record.record_event("watches are reset");
+    harness.discovery.reset_watches();
+}
+
+/// Makes discovery answer late. An agent on the limiter's own host never does.
+pub async fn slow(harness: &Harness, rng: &mut SmallRng) {
+    if !harness.deployment.subscribes {
+        return;
+    }
+    let delay = random_ms(rng, 50, 1000);
+    harness.record.record_event(format!("discovery answers {delay:?} late"));
+    harness.discovery.set_delay(delay);
+    sleep(random_ms(rng, 500, 6000)).await;
+    harness.discovery.set_delay(Duration::ZERO);
+}
--- /dev/null
+++ b/soak/src/faults/limiters.rs
@@ -0,0 +1,102 @@
+//! Faults of limiter processes: restarts, stalls, and new configurations.
+
+use std::sync::Arc;
+use std::time::Duration;
+
+use nix::sys::signal::Signal;
+use rand::rngs::SmallRng;
+use rand::seq::IndexedRandom;
+use rand::Rng;
+use tokio::time::sleep;
+
+use super::random_ms;
+use crate::harness::Harness;
+use crate::limiter_process::LimiterProcess;
+
+/// Shortest stall of a limiter in milliseconds.
+const MIN_STALL_MS: u64 = 30;
+/// Stalls of a limiter are shorter than this, in milliseconds: a limiter tolerates 150 ms.
+const MAX_STALL_MS: u64 = 145;
+
+/// Restarts a limiter by SIGTERM.
+pub async fn terminate(harness: &Harness, limiter: usize, rng: &mut SmallRng) {
+    if !harness.begin_restart(limiter) {
+        return;
+    }
+    // The limiter starts again with this list, which may be stale by then.
+    let configured_list = harness.discovery.complete_list();
+    harness.record.record_event(format!("limiter {limiter}: SIGTERM"));
+    harness.limiters[limiter].terminate().await;
+    start_again(harness, limiter, configured_list, rng).await;
+}
+
+/// Restarts a limiter by SIGKILL.
+pub async fn kill(harness: &Harness, limiter: usize, rng: &mut SmallRng) {
+    if !harness.begin_restart(limiter) {
+        return;
+    }
+    // The limiter starts again with this list, which may be stale by then.
+    let configured_list = harness.discovery.complete_list();
+    harness.record.record_event(format!("limiter {limiter}: SIGKILL"));
+    harness.limiters[limiter].kill().await;
+    start_again(harness, limiter, configured_list, rng).await;
+}
+
+async fn start_again(
+    harness: &Harness,
+    limiter: usize,
+    configured_list: serde_json::Value,
+    rng: &mut SmallRng,
+) {
+    sleep(random_ms(rng, 50, 600)).await;
+    harness.limiters[limiter].start(configured_list).await;
+    harness.record.record_event(format!("limiter {limiter}: started"));
+    harness.end_restart(limiter);
+}
+
+/// Stops all or some limiters for a moment.
+pub async fn stall(harness: &Harness, rng: &mut SmallRng) {
+    let limiters = choose_limiters(harness, 0.2, rng);
+    let duration = random_ms(rng, MIN_STALL_MS, MAX_STALL_MS);
+    harness.record.record_event(format!("{} limiters stall for {duration:?}", limiters.len()));
+    for limiter in &limiters {
+        limiter.signal(Signal::SIGSTOP);
+    }
+    sleep(duration).await;
+    for limiter in &limiters {
+        limiter.signal(Signal::SIGCONT);
+    }
+}
+
+/// Sends all or some limiters up to three new configurations in quick succession, each with another discovery
+/// address.
+pub async fn reload(harness: &Harness, rng: &mut SmallRng) {
+    let count = draw_count(harness, 0.3, rng);
+    let num_reloads = rng.random_range(1..4);
+    harness.record.record_event(format!("{count} limiters reload {num_reloads} configurations"));
+    let limiters: Vec<&Arc<LimiterProcess>> = harness.limiters.choose_multiple(rng, count).collect();
+    for _ in 0..num_reloads {
+        for limiter in limiters.iter().filter(|limiter| limiter.accepts_clients()) {
+            limiter.move_discovery();
+        }
+        sleep(Duration::from_millis(rng.random_range(0..200))).await;
+    }
+}
+
+/// Chooses all limiters with the given probability, and one to three otherwise.
+fn choose_limiters<'a>(
+    harness: &'a Harness,
+    probability_of_all: f64,
+    rng: &mut SmallRng,
+) -> Vec<&'a Arc<LimiterProcess>> {
+    let count = draw_count(harness, probability_of_all, rng);
+    harness.limiters.choose_multiple(rng, count).collect()
+}
+
+fn draw_count(harness: &Harness, probability_of_all: f64, rng: &mut SmallRng) -> usize {
+    if rng.random_bool(probability_of_all) {
+        harness.limiters.len()
+    } else {
+        rng.random_range(1..4)
+    }
+}
--- /dev/null
+++ b/soak/src/faults/mod.rs
@@ -0,0 +1,158 @@
+//! The faults that a run injects: which ones, how often, and for how long. A file for each family of faults.
+
+mod clients;
+mod discovery;
+mod gossip;
+mod limiters;
+mod servers;
+
+use std::sync::Arc;
+use std::time::{Duration, Instant};
+
+use rand::rngs::{SmallRng, StdRng};
+use rand::seq::IndexedRandom;
+use rand::{Rng, SeedableRng};
+use tokio::time::sleep;
+
+use crate::harness::Harness;
+use crate::server::Reachability;
+
+/// Mean time between the beginnings of two faults. Most faults last longer, so that two or three overlap.
+const MEAN_FAULT_INTERVAL: Duration = Duration::from_millis(350);
+/// Longest time between the beginnings of two faults.
+const MAX_FAULT_INTERVAL: Duration = Duration::from_secs(2);
+
+/// A fault that the harness can inject.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum Fault {
+    /// A limiter is restarted by SIGTERM.
+    TerminateLimiter,
+    /// A limiter is restarted by SIGKILL.
+    KillLimiter,
+    /// Some limiters get no processor time for a moment.
+    StallLimiters,
+    /// Some limiters get new configurations, with SIGHUP.
+    ReloadConfiguration,
+    /// Discovery is closed or silent.
+    DiscoveryOutage,
+    /// All watches are reset.
+    ResetWatches,
+    /// Some servers drain, and new ones start.
+    ReplaceServers,
+    /// A server crashes and starts again.
+    RestartServer,
+    /// Some servers misbehave.
+    FaultyServers,
+    /// Some servers accept connections late.
+    SlowAccepts,
+    /// Some servers are partitioned from the limiters.
+    PartitionServers,
+    /// Discovery answers late.
+    SlowDiscovery,
+    /// A limiter is partitioned from its peers.
+    PartitionGossip,
+    /// Many clients disconnect before their response.
+    DisconnectingClients,
+    /// Clients stop in the middle of a request.
+    StallingClients,
+    /// Clients connect and send nothing.
+    IdleClients,
+    /// The rate of requests rises for a moment.
+    Burst,
+}
+
+/// A fault, and how often it is drawn in relation to the others.
+struct WeightedFault {
+    fault: Fault,
+    weight: u32,
+}
+
+/// All faults. Their order and weights decide what a seed means.
+const FAULTS: [WeightedFault; 17] = [
+    WeightedFault { fault: Fault::TerminateLimiter, weight: 10 },
+    WeightedFault { fault: Fault::KillLimiter, weight: 5 },
+    WeightedFault { fault: Fault::StallLimiters, weight: 25 },
+    WeightedFault { fault: Fault::ReloadConfiguration, weight: 6 },
+    WeightedFault { fault: Fault::DiscoveryOutage, weight: 5 },
+    WeightedFault { fault: Fault::ResetWatches, weight: 6 },
+    WeightedFault { fault: Fault::ReplaceServers, weight: 12 },
+    WeightedFault { fault: Fault::RestartServer, weight: 5 },
+    WeightedFault { fault: Fault::FaultyServers, weight: 18 },
+    WeightedFault { fault: Fault::SlowAccepts, weight: 5 },
+    WeightedFault { fault: Fault::PartitionServers, weight: 6 },
+    WeightedFault { fault: Fault::SlowDiscovery, weight: 4 },
+    WeightedFault { fault: Fault::PartitionGossip, weight: 6 },
+    WeightedFault { fault: Fault::DisconnectingClients, weight: 6 },
+    WeightedFault { fault: Fault::StallingClients, weight: 5 },
+    WeightedFault { fault: Fault::IdleClients, weight: 5 },
+    WeightedFault { fault: Fault::Burst, weight: 5 },
+];
+
+/// A fault as it is drawn for a run.
+#[derive(Debug, Clone, Copy, PartialEq)]
+pub struct DrawnFault {
+    /// The time since the beginning of the previous fault.
+    pub delay: Duration,
+    /// The fault.
+    pub fault: Fault,
+    /// Seeds all further draws of the fault.
+    pub seed: u64,
+}
+
+impl DrawnFault {
+    /// Draws a fault and the time before it.
+    pub fn draw(rng: &mut StdRng) -> Option<DrawnFault> {
+        let delay = exponential(rng, MEAN_FAULT_INTERVAL).min(MAX_FAULT_INTERVAL);
+        let weighted = FAULTS.choose_weighted(rng, |weighted| weighted.weight).ok()?;
+        Some(DrawnFault { delay, fault: weighted.fault, seed: rng.random() })
+    }
+}
+
+/// Draws a time from the exponential distribution with the given mean.
+fn exponential(rng: &mut StdRng, mean: Duration) -> Duration {
+    mean.mul_f64(-rng.random::<f64>().max(1e-9).ln())
+}
+
+/// Draws a time of at least `min` and less than `max` milliseconds.
+fn random_ms(rng: &mut SmallRng, min: u64, max: u64) -> Duration {
+    Duration::from_millis(rng.random_range(min..max))
+}
+
+/// Injects faults until the given time, and waits for the restarts that are in progress.
+pub async fn inject_until(harness: &Arc<Harness>, until: Instant, rng: &mut StdRng) {
+    while Instant::now() < until {
+        let Some(drawn) = DrawnFault::draw(rng) else { continue };
+        sleep(drawn.delay).await;
+        tokio::spawn(inject(harness.clone(), drawn));
+    }
+    harness.restarts_finished().await;
+}
+
+/// Injects a fault, and ends it after its time.
+async fn inject(harness: Arc<Harness>, drawn: DrawnFault) {
+    let mut rng = SmallRng::seed_from_u64(drawn.seed);
+    let limiter = rng.random_range(0..harness.limiters.len());
+    match drawn.fault {
+        Fault::TerminateLimiter => limiters::terminate(&harness, limiter, &mut rng).await,
+        Fault::KillLimiter => limiters::kill(&harness, limiter, &mut rng).await,
+        Fault::StallLimiters => limiters::stall(&harness, &mut rng).await,
+        Fault::ReloadConfiguration => limiters::reload(&harness, &mut rng).await,
+        Fault::DiscoveryOutage => discovery::outage(&harness, &mut rng).await,
+        Fault::ResetWatches => discovery::reset_watches(&harness),
+        Fault::SlowDiscovery => discovery::slow(&harness, &mut rng).await,
+        Fault::ReplaceServers => servers::replace(&harness, &mut rng).await,
+        Fault::RestartServer => servers::restart(&harness, &mut rng).await,
+        Fault::FaultyServers => servers::misbehave(&harness, &mut rng).await,
+        Fault::SlowAccepts => {
+            servers::limit_reachability(&harness, Reachability::AcceptsLate, &mut rng).await;
+        }
+        Fault::PartitionServers => {
+            servers::limit_reachability(&harness, Reachability::Partitioned, &mut rng).await;
+        }
+        Fault::PartitionGossip => gossip::partition(&harness, limiter, &mut rng).await,
+        Fault::DisconnectingClients => clients::disconnect_often(&harness, &mut rng).await,
+        Fault::StallingClients => clients::stall(&harness, limiter),
+        Fault::IdleClients => clients::idle(&harness, limiter, &mut rng).await,
+        Fault::Burst => clients::burst(&harness, &mut rng).await,
+    }
+}
--- a/soak/src/gossip.rs
+++ b/soak/src/gossip.rs
@@ -1,4 +1,4 @@
-//! A stand-in for the network between limiters: delays messages, loses some, and cuts limiters off.
+//! A stand-in for the network between limiters: delays gossip, loses some of it, and partitions limiters.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -10,60 +10,86 @@
 use tokio::time::sleep;
 
 use crate::addresses::Addresses;
-use crate::site::Site;
+use crate::deployment::Deployment;
+use crate::record::SharedRecord;
 
-/// Longest datagram that may be sent.
+/// Largest datagram that a limiter may send.
 const MAX_DATAGRAM_BYTES: usize = 256;
 
-/// The network.
+/// The network between the limiters.
 pub struct GossipNetwork {
-    /// Each limiter's address as the others know it.
+    /// The sockets to which peers send gossip, one for each limiter.
     sockets: Vec<UdpSocket>,
-    is_cut_off: Vec<AtomicBool>,
-    /// A datagram was longer than allowed.
-    pub saw_oversized: AtomicBool,
+    is_partitioned: Vec<AtomicBool>,
+    deployment: Deployment,
+    addresses: Addresses,
+    record: Arc<SharedRecord>,
 }
 
 impl GossipNetwork {
-    /// Carries messages from now on.
-    pub async fn start(site: &Site, addresses: Addresses, seed: u64) -> std::io::Result<Arc<GossipNetwork>> {
+    /// Starts to forward gossip.
+    ///
+    /// # Errors
+    /// An address is not available.
+    pub async fn start(
+        deployment: &Deployment,
+        addresses: Addresses,
+        record: Arc<SharedRecord>,
+        seed: u64,
+    ) -> std::io::Result<Arc<GossipNetwork>> {
         let mut sockets = Vec::new();
-        for limiter in 0..site.limiters {
+        let mut is_partitioned = Vec::new();
+        for limiter in 0..deployment.limiters {
             sockets.push(UdpSocket::bind(addresses.gossip_proxy(limiter)).await?);
+            is_partitioned.push(AtomicBool::new(false));
         }
-        let is_cut_off = (0..site.limiters).map(|_| AtomicBool::new(false)).collect();
-        let network = Arc::new(GossipNetwork { sockets, is_cut_off, saw_oversized: AtomicBool::new(false) });
-        for to in 0..site.limiters {
-            let rng = SmallRng::seed_from_u64(seed ^ to as u64);
-            tokio::spawn(network.clone().carry_to(to, site.clone(), addresses, rng));
+        let deployment = deployment.clone();
+        let network = Arc::new(GossipNetwork { sockets, is_partitioned, deployment, addresses, record });
+        for receiver in 0..network.sockets.len() {
+            let rng = SmallRng::seed_from_u64(seed ^ receiver as u64);
+            tokio::spawn(network.clone().forward_to(receiver, rng));
         }
         Ok(network)
     }
 
-    /// Cuts a limiter off from the others, or ends that.
-    pub fn cut_off(&self, limiter: usize, is_cut_off: bool) {
-        self.is_cut_off[limiter].store(is_cut_off, Ordering::SeqCst);
+    /// Partitions a limiter from its peers, or ends the partition.
+    pub fn set_partitioned(&self, limiter: usize, is_partitioned: bool) {
+        self.is_partitioned[limiter].store(is_partitioned, Ordering::SeqCst);
     }
 
-    async fn carry_to(self: Arc<Self>, to: usize, site: Site, addresses: Addresses, mut rng: SmallRng) {
-        let senders: Vec<SocketAddr> = (0..site.limiters).map(|limiter| addresses.gossip(limiter)).collect();
+    fn is_partitioned(&self, limiter: usize) -> bool {
+        self.is_partitioned[limiter].load(Ordering::SeqCst)
+    }
+
+    /// Forwards all gossip for one limiter, forever.
+    async fn forward_to(self: Arc<Self>, receiver: usize, mut rng: SmallRng) {
+        let num_limiters = self.sockets.len();
+        let senders: Vec<SocketAddr> =
+            (0..num_limiters).map(|limiter| self.addresses.gossip(limiter)).collect();
         let mut buffer = [0; 2 * MAX_DATAGRAM_BYTES];
         loop {
-            let Ok((length, sender)) = self.sockets[to].recv_from(&mut buffer).await else { continue };
-            let Some(from) = senders.iter().position(|address| *address == sender) else { continue };
-            if length > MAX_DATAGRAM_BYTES {
-                self.saw_oversized.store(true, Ordering::SeqCst);
-            }
-            let is_cut = [from, to].iter().any(|limiter| self.is_cut_off[*limiter].load(Ordering::SeqCst));
-            if is_cut || rng.random_bool(site.gossip_loss) {
+            let Ok((length, source)) = self.sockets[receiver].recv_from(&mut buffer).await else { continue };
+            let Some(sender) = senders.iter().position(|address| *address == source) else { continue };
+            self.check_length(sender, length);
+            let is_partitioned = self.is_partitioned(sender) || self.is_partitioned(receiver);
+            if is_partitioned || rng.random_bool(self.deployment.gossip_loss) {
                 continue;
             }
-            let delay = site.gossip_delay.mul_f64(rng.random());
-            let (network, data) = (self.clone(), buffer[..length].to_vec());
+            let delay = self.deployment.gossip_delay.mul_f64(rng.random());
+            let network = self.clone();
+            let datagram = buffer[..length].to_vec();
             tokio::spawn(async move {
                 sleep(delay).await;
-                let _ = network.sockets[from].send_to(&data, addresses.gossip(to)).await;
+                let target = network.addresses.gossip(receiver);
+                let _ = network.sockets[sender].send_to(&datagram, target).await;
             });
         }
     }
+
+    fn check_length(&self, sender: usize, length: usize) {
+        if length > MAX_DATAGRAM_BYTES {
+            let fault = format!("limiter {sender}: sent a gossip message of {length} bytes or more");
+            self.record.lock().process_faults.push(fault);
+        }
+    }
 }
--- a/soak/src/http.rs
+++ b/soak/src/http.rs
@@ -1,16 +1,16 @@
-//! HTTP/1.1 messages on a connection, read within bounds.
+//! Reads HTTP/1.1 messages of bounded size from a connection.
 
 use std::time::Instant;
 
 use tokio::io::AsyncReadExt;
 use tokio::net::TcpStream;
 
-/// Longest head that is read.
+/// Longest head of a message in bytes.
 const MAX_HEAD_BYTES: usize = 16 << 10;
 /// Most headers of a message.
 const MAX_HEADERS: usize = 32;
 
-/// A message that was read to its end.
+/// A message that was read completely.
 #[derive(Debug, Default)]
 pub struct Message {
     /// The path of a request.
@@ -20,38 +20,38 @@
     headers: Vec<(String, String)>,
     /// The body.
     pub body: Vec<u8>,
-    /// When its first byte was read.
-    pub first_byte: Option<Instant>,
+    /// When the first byte was read.
+    pub first_byte_at: Option<Instant>,
 }
 
 impl Message {
-    /// The value of a header, by its name in lower case.
+    /// Returns the value of a header. The name must be in lower case.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.iter().find(|(found, _)| found == name).map(|(_, value)| value.as_str())
     }
 }
 
-/// Why no message was read.
+/// Why no complete message was read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReadError {
     /// The connection ended before the first byte of a message.
     Ended,
-    /// It ended within a message.
-    BrokenOff,
-    /// What came is no message.
+    /// The connection ended within a message.
+    Incomplete,
+    /// The bytes are not an HTTP/1.1 message, or the head is too long.
     Malformed,
 }
 
-/// Which kind of message is expected.
+/// The expected kind of message.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Kind {
+pub enum MessageKind {
     /// A request.
     Request,
     /// A response.
     Response,
 }
 
-/// A connection and what was read of it beyond the last message.
+/// A connection, with the bytes that were read beyond the last message.
 pub struct Connection {
     /// The socket.
     pub stream: TcpStream,
@@ -59,7 +59,7 @@
 }
 
 impl Connection {
-    /// Nothing has been read yet.
+    /// Wraps a socket from which nothing has been read yet.
     pub fn new(stream: TcpStream) -> Connection {
         let _ = stream.set_nodelay(true);
         Connection { stream, buffer: Vec::new() }
@@ -68,26 +68,27 @@
     /// Reads the next message.
     ///
     /// # Errors
-    /// [`ReadError`] if the connection ends first or something else comes.
-    pub async fn read(&mut self, kind: Kind) -> Result<Message, ReadError> {
-        let mut first_byte = (!self.buffer.is_empty()).then(Instant::now);
+    /// The connection ends first, or its bytes are not a message.
+    pub async fn read(&mut self, kind: MessageKind) -> Result<Message, ReadError> {
+        let mut first_byte_at = (!self.buffer.is_empty()).then(Instant::now);
         loop {
-            if let Some((mut message, head)) = parse_head(&self.buffer, kind)? {
-                let length = message.header("content-length").and_then(|text| text.parse().ok()).unwrap_or(0);
-                while self.buffer.len() < head + length {
-                    self.fill(ReadError::BrokenOff).await?;
+            if let Some(ParsedHead { mut message, length: body_start }) = parse_head(&self.buffer, kind)? {
+                let body_length = message.header("content-length").and_then(|text| text.parse().ok());
+                let end = body_start + body_length.unwrap_or(0);
+                while self.buffer.len() < end {
+                    self.fill(ReadError::Incomplete).await?;
                 }
-                message.body = self.buffer[head..head + length].to_vec();
-                message.first_byte = first_byte;
-                self.buffer.drain(..head + length);
+                message.body = self.buffer[body_start..end].to_vec();
+                message.first_byte_at = first_byte_at;
+                self.buffer.drain(..end);
                 return Ok(message);
             }
             if self.buffer.len() > MAX_HEAD_BYTES {
                 return Err(ReadError::Malformed);
             }
-            let at_end = if self.buffer.is_empty() { ReadError::Ended } else { ReadError::BrokenOff };
+            let at_end = if self.buffer.is_empty() { ReadError::Ended } else { ReadError::Incomplete };
             self.fill(at_end).await?;
-            first_byte = first_byte.or_else(|| Some(Instant::now()));
+            first_byte_at = first_byte_at.or_else(|| Some(Instant::now()));
         }
     }
 
@@ -98,24 +99,31 @@
         }
     }
 
-    /// Waits until the other side ends the connection; what comes meanwhile is kept.
-    pub async fn ended(&mut self) {
+    /// Waits until the peer closes the connection. Bytes that arrive until then are stored for the next read.
+    pub async fn closed_by_peer(&mut self) {
         while self.fill(ReadError::Ended).await.is_ok() {}
     }
 }
 
-/// The head of a message and its length, if it is complete.
-fn parse_head(bytes: &[u8], kind: Kind) -> Result<Option<(Message, usize)>, ReadError> {
+/// The head of a message, without a body so far.
+struct ParsedHead {
+    message: Message,
+    /// Length of the head in bytes.
+    length: usize,
+}
+
+/// Parses the head of a message. Returns `None` while the head is incomplete.
+fn parse_head(bytes: &[u8], kind: MessageKind) -> Result<Option<ParsedHead>, ReadError> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut message = Message::default();
     let (status, headers) = match kind {
-        Kind::Request => {
+        MessageKind::Request => {
             let mut request = httparse::Request::new(&mut headers);
             let status = request.parse(bytes).map_err(|_| ReadError::Malformed)?;
             message.path = request.path.unwrap_or_default().to_string();
             (status, request.headers)
         }
-        Kind::Response => {
+        MessageKind::Response => {
             let mut response = httparse::Response::new(&mut headers);
             let status = response.parse(bytes).map_err(|_| ReadError::Malformed)?;
             message.status = response.code.unwrap_or(0);
@@ -127,5 +135,5 @@
         let value = String::from_utf8_lossy(header.value).trim().to_string();
         message.headers.push((header.name.to_ascii_lowercase(), value));
     }
-    Ok(Some((message, length)))
+    Ok(Some(ParsedHead { message, length }))
 }
--- /dev/null
+++ b/soak/src/invariants/attempts.rs
@@ -0,0 +1,149 @@
+//! When an attempt may begin, and when a request may be attempted again.
+
+use std::time::Duration;
+
+use super::{seconds_between, FinishedRun, Invariant, Timing, Violation};
+use crate::deployment::{DedupScope, Idempotency};
+use crate::record::{Attempt, ClientRequest, Outcome, RequestId, ServerRecord, HARNESS_DELAY};
+
+/// No new request may reach a server this long after the limiter was notified of its withdrawal: the grace
+/// period of the settings and the slack on sockets.
+const DRAIN_GRACE: Duration = Duration::from_millis(250 + 50);
+/// No attempt may begin this long after its client has disconnected.
+const DISCONNECT_GRACE: Duration = Duration::from_millis(100);
+/// The propagated deadline may exceed the client's remaining time by this much.
+const DEADLINE_SLACK_S: f64 = 0.15;
+/// Allowance for the time between a limiter's last check of the deduplication window and the arrival at the
+/// server.
+const DEDUP_WINDOW_SLACK: Duration = Duration::from_millis(50);
+
+impl FinishedRun<'_> {
+    /// Checks all attempts of a request.
+    pub(super) fn check_attempts(
+        &self,
+        id: RequestId,
+        request: &ClientRequest,
+        violations: &mut Vec<Violation>,
+    ) {
+        let attempts = self.attempts_of(id);
+        for (index, attempt) in attempts.iter().enumerate() {
+            if !self.was_read_late(attempt) {
+                violations.extend(check_propagated_deadline(id, request, attempt));
+                violations.extend(check_disconnected_client(id, request, attempt));
+                violations.extend(self.check_draining(id, request, attempt));
+            }
+            let earlier = &attempts[..index];
+            if let Some(previous) = earlier.last() {
+                violations.extend(check_overlap(id, previous, attempt));
+                violations.extend(self.check_retry_location(id, request, earlier, attempt));
+                violations.extend(self.check_dedup_window(id, request, earlier, attempt));
+            }
+        }
+    }
+
+    /// Returns whether the stand-in server may have read an attempt late through its own fault.
+    fn was_read_late(&self, attempt: &Attempt) -> bool {
+        let read_at = attempt.first_byte_at;
+        self.record.server_stalls.iter().any(|stall| {
+            stall.server == attempt.server && stall.from <= read_at && read_at <= stall.to + HARNESS_DELAY
+        })
+    }
+
+    fn check_draining(&self, id: RequestId, request: &ClientRequest, attempt: &Attempt) -> Option<Violation> {
+        let notified_at = self.withdrawal_notified_at(request, attempt.server)?;
+        if attempt.first_byte_at <= notified_at + DRAIN_GRACE + HARNESS_DELAY {
+            return None;
+        }
+        let delay = attempt.first_byte_at - notified_at;
+        let limiter = request.limiter;
+        let server = &self.record.servers[attempt.server].name;
+        let description = format!("limiter {limiter} forwarded to {server} {delay:?} after its withdrawal");
+        Some(Violation::of_request(Invariant::Draining, Timing::Measured, id, description))
+    }
+
+    /// Checks that a request which may have been executed is retried only as its class allows.
+    fn check_retry_location(
+        &self,
+        id: RequestId,
+        request: &ClientRequest,
+        earlier: &[&Attempt],
+        attempt: &Attempt,
+    ) -> Option<Violation> {
+        let first = first_possible_execution(earlier)?;
+        let idempotency = self.deployment.classes[request.class].idempotency;
+        let from = &self.record.servers[first.server];
+        let to = &self.record.servers[attempt.server];
+        if may_retry(idempotency, from, to) {
+            return None;
+        }
+        let description = format!("{idempotency:?}: executed at {}, retried at {}", from.name, to.name);
+        Some(Violation::of_request(Invariant::SingleExecution, Timing::Independent, id, description))
+    }
+
+    /// Checks that a request with an idempotency key is retried only while servers drop its duplicates.
+    fn check_dedup_window(
+        &self,
+        id: RequestId,
+        request: &ClientRequest,
+        earlier: &[&Attempt],
+        attempt: &Attempt,
+    ) -> Option<Violation> {
+        let first = first_possible_execution(earlier)?;
+        let class = &self.deployment.classes[request.class];
+        let window_end = first.last_byte_at + class.dedup_window + DEDUP_WINDOW_SLACK + HARNESS_DELAY;
+        let has_key = matches!(class.idempotency, Idempotency::WithKey(_));
+        if !has_key || attempt.last_byte_at <= window_end {
+            return None;
+        }
+        let description = "retried after the deduplication window".to_string();
+        Some(Violation::of_request(Invariant::SingleExecution, Timing::Independent, id, description))
+    }
+}
+
+fn check_propagated_deadline(id: RequestId, request: &ClientRequest, attempt: &Attempt) -> Option<Violation> {
+    let left_s = request.timeout.as_secs_f64() - seconds_between(request.written_at, attempt.last_byte_at);
+    let propagated_s = attempt.propagated_deadline_s.unwrap_or(f64::INFINITY);
+    if propagated_s <= left_s.max(0.0) + DEADLINE_SLACK_S + HARNESS_DELAY.as_secs_f64() {
+        return None;
+    }
+    let description = format!("propagated a deadline of {propagated_s:.3} s, {left_s:.3} s were left");
+    Some(Violation::of_request(Invariant::PropagatedDeadline, Timing::Measured, id, description))
+}
+
+fn check_disconnected_client(id: RequestId, request: &ClientRequest, attempt: &Attempt) -> Option<Violation> {
+    if request.outcome != Some(Outcome::Disconnected) {
+        return None;
+    }
+    let disconnected_at = request.ended_at?;
+    if attempt.first_byte_at <= disconnected_at + DISCONNECT_GRACE + HARNESS_DELAY {
+        return None;
+    }
+    let delay = attempt.first_byte_at - disconnected_at;
+    let description = format!("an attempt began {delay:?} after its client disconnected");
+    Some(Violation::of_request(Invariant::Response, Timing::Measured, id, description))
+}
+
+fn check_overlap(id: RequestId, previous: &Attempt, attempt: &Attempt) -> Option<Violation> {
+    let previous_ended_at = previous.ended_at.unwrap_or(previous.last_byte_at);
+    if previous_ended_at <= attempt.last_byte_at + HARNESS_DELAY {
+        return None;
+    }
+    let overlap = previous_ended_at - attempt.last_byte_at;
+    let description = format!("two attempts were in flight at the same time for {overlap:?}");
+    Some(Violation::of_request(Invariant::SingleExecution, Timing::Measured, id, description))
+}
+
+/// Returns the first attempt that may have been executed.
+fn first_possible_execution<'a>(attempts: &[&'a Attempt]) -> Option<&'a Attempt> {
+    attempts.iter().find(|attempt| !attempt.is_unprocessed).copied()
+}
+
+/// Returns whether a request that may have been executed at one server may be retried at another.
+fn may_retry(idempotency: Idempotency, from: &ServerRecord, to: &ServerRecord) -> bool {
+    match idempotency {
+        Idempotency::Idempotent | Idempotency::WithKey(DedupScope::All) => true,
+        Idempotency::WithKey(DedupScope::Zone) => from.zone == to.zone,
+        Idempotency::WithKey(DedupScope::Cell) => from.cell == to.cell,
+        Idempotency::NonIdempotent => false,
+    }
+}
--- /dev/null
+++ b/soak/src/invariants/slow_start.rs
@@ -0,0 +1,114 @@
+//! The load of all limiters together on a server during its slow start.
+
+use std::collections::{HashMap, HashSet};
+use std::time::{Duration, Instant};
+
+use super::{FinishedRun, Invariant, Timing, Violation};
+use crate::record::Attempt;
+
+/// Time over which the throughput of warm servers is reported beside a violation.
+const THROUGHPUT_TIME: Duration = Duration::from_secs(5);
+
+/// A window of time at one server.
+struct Window {
+    server: usize,
+    from: Instant,
+    to: Instant,
+}
+
+impl Window {
+    fn contains(&self, attempt: &Attempt) -> bool {
+        attempt.server == self.server && (self.from..self.to).contains(&attempt.last_byte_at)
+    }
+}
+
+impl FinishedRun<'_> {
+    /// Checks every server that started during the run. Reports the first overload of each.
+    pub(super) fn check_slow_starts(&self) -> Vec<Violation> {
+        let mut arrivals: HashMap<usize, Vec<Instant>> = HashMap::new();
+        for attempt in &self.record.attempts {
+            arrivals.entry(attempt.server).or_default().push(attempt.last_byte_at);
+        }
+        let mut violations = Vec::new();
+        for (server, mut arrivals) in arrivals {
+            arrivals.sort();
+            if let Some(started_at) = self.record.servers[server].started_at {
+                violations.extend(self.check_slow_start(server, started_at, &arrivals));
+            }
+        }
+        violations
+    }
+
+    fn check_slow_start(
+        &self,
+        server: usize,
+        started_at: Instant,
+        arrivals: &[Instant],
+    ) -> Option<Violation> {
+        for (index, from) in arrivals.iter().enumerate() {
+            let age = from.saturating_duration_since(started_at);
+            // A window that extends beyond the slow start shows nothing about a cold server.
+            if age + self.deployment.overload_time > self.deployment.slow_start {
+                return None;
+            }
+            let to = *from + self.deployment.overload_time;
+            let window = Window { server, from: *from, to };
+            let count = arrivals[index..].iter().take_while(|arrival| **arrival < to).count();
+            let budget = self.deployment.slow_start_budget(age);
+            if count as f64 > budget && self.is_by_notified_limiters(&window, started_at) {
+                return Some(self.overload(&window, age, count, budget));
+            }
+        }
+        None
+    }
+
+    fn overload(&self, window: &Window, age: Duration, count: usize, budget: f64) -> Violation {
+        let name = &self.record.servers[window.server].name;
+        let throughput = self.warm_throughput_per_s(window.from);
+        let capacity = self.deployment.capacity_per_s;
+        let description = format!(
+            "{name} received {count} requests from the age of {age:?} on, the budget is {budget:.1}; warm servers \
+             received {throughput:.1}/s in the {THROUGHPUT_TIME:?} before, and have a capacity of {capacity:.1}/s"
+        );
+        Violation::of_fleet(Invariant::SlowStart, Timing::Measured, description)
+    }
+
+    /// Returns whether limiters that counted as notified of the server's start sent more than two thirds of
+    /// the requests in a window.
+    fn is_by_notified_limiters(&self, window: &Window, started_at: Instant) -> bool {
+        let mut num_requests = 0;
+        let mut num_by_notified = 0;
+        for attempt in self.record.attempts.iter().filter(|attempt| window.contains(attempt)) {
+            num_requests += 1;
+            let Some(request) = self.record.requests.get(&attempt.request) else { continue };
+            let notified_at = self.start_notified_at(request, window.server, started_at);
+            if notified_at.is_some_and(|notified_at| notified_at <= attempt.first_byte_at) {
+                num_by_notified += 1;
+            }
+        }
+        num_by_notified * 3 > num_requests * 2
+    }
+
+    /// Returns the mean requests per second of those warm servers that received any in the time before
+    /// `moment`.
+    fn warm_throughput_per_s(&self, moment: Instant) -> f64 {
+        let mut num_requests = 0;
+        let mut servers = HashSet::new();
+        for attempt in &self.record.attempts {
+            let arrived_at = attempt.last_byte_at;
+            let is_recent = arrived_at <= moment && arrived_at + THROUGHPUT_TIME > moment;
+            if is_recent && self.is_warm(attempt.server, moment) {
+                num_requests += 1;
+                servers.insert(attempt.server);
+            }
+        }
+        f64::from(num_requests) / THROUGHPUT_TIME.as_secs_f64() / servers.len().max(1) as f64
+    }
+
+    fn is_warm(&self, server: usize, moment: Instant) -> bool {
+        let started_at = self.record.servers[server].started_at;
+        started_at.is_none_or(|started_at| {
+            moment.saturating_duration_since(started_at) > self.deployment.slow_start
+        })
+    }
+}
--- a/soak/src/net.rs
+++ b/soak/src/net.rs
@@ -1,4 +1,4 @@
-//! Sockets of the stand-ins.
+//! Socket options and listeners of the stand-ins.
 
 use std::io;
 use std::net::SocketAddr;
@@ -7,10 +7,13 @@
 use socket2::{Domain, Protocol, SockRef, Socket, Type};
 use tokio::net::{TcpListener, TcpStream};
 
-/// Connections that may wait to be accepted.
+/// Length of the accept queue.
 pub const ACCEPT_QUEUE: i32 = 1024;
 
-/// Listens on an address, also right after another listener there has ended.
+/// Listens on an address, also immediately after another listener on that address was closed.
+///
+/// # Errors
+/// The address is not available.
 pub fn listen(address: SocketAddr) -> io::Result<TcpListener> {
     let socket = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
     socket.set_reuse_address(true)?;
@@ -20,12 +23,12 @@
     TcpListener::from_std(socket.into())
 }
 
-/// Has the next close of a connection be a reset.
+/// Makes the close of a connection a reset.
 pub fn reset_on_close(stream: &TcpStream) {
     let _ = SockRef::from(stream).set_linger(Some(Duration::ZERO));
 }
 
-/// Has the next close of a connection end it in order.
-pub fn close_in_order(stream: &TcpStream) {
+/// Makes the close of a connection graceful again.
+pub fn close_gracefully(stream: &TcpStream) {
     let _ = SockRef::from(stream).set_linger(None);
 }
--- a/soak/src/record.rs
+++ b/soak/src/record.rs
@@ -1,159 +1,189 @@
-//! What clients and servers saw of each request: the input of the judgement.
+//! What clients, servers and the harness observed during a run: the input of the invariant checks.
 
 use std::collections::{BTreeMap, HashMap};
-use std::sync::{Mutex, MutexGuard};
+use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-/// Number of a request.
+/// Identifies a request of a client.
 pub type RequestId = u64;
 
+/// How late the harness itself may read or write, because its tasks share the machine with the limiters.
+pub const HARNESS_DELAY: Duration = Duration::from_millis(40);
+
 /// How a request ended for its client.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Ending {
-    /// A whole response.
+pub enum Outcome {
+    /// The client received a complete response.
     Answered {
-        /// Its status.
+        /// The status code.
         status: u16,
-        /// The body is the one that a server made for this request.
-        is_own_body: bool,
+        /// Whether the body is the one that a server produced for this request.
+        has_expected_body: bool,
     },
-    /// The limiter ended the connection without a whole response.
+    /// The limiter closed the connection without a complete response.
     Closed,
-    /// Nothing came until well after the request's time.
-    NotAnswered,
-    /// The client left.
-    Left,
+    /// No response arrived until well after the client's timeout.
+    TimedOut,
+    /// The client disconnected before the response.
+    Disconnected,
 }
 
 /// A request as its client sent it.
 #[derive(Debug, Clone)]
-pub struct Sent {
-    /// The limiter that got it.
+pub struct ClientRequest {
+    /// The limiter that received the request.
     pub limiter: usize,
-    /// Which start of that limiter.
-    pub life: usize,
-    /// Index of its class.
+    /// The incarnation of that limiter.
+    pub incarnation: usize,
+    /// Index of the request class.
     pub class: usize,
-    /// Index of its plan.
+    /// Index of the plan.
     pub plan: usize,
-    /// Its customer.
+    /// The customer id.
     pub customer: u64,
-    /// Its units.
+    /// Estimated cost in quota units.
     pub units: u32,
-    /// When its last byte was written.
-    pub written: Instant,
-    /// How long its client waits.
-    pub budget: Duration,
-    /// The connection had carried requests before.
-    pub is_on_used_connection: bool,
-    /// How it ended.
-    pub ending: Option<Ending>,
-    /// When it ended; of a client that left, when it closed the connection.
-    pub ended: Option<Instant>,
+    /// When the last byte was written.
+    pub written_at: Instant,
+    /// How long the client waits for the response.
+    pub timeout: Duration,
+    /// Whether the connection had carried requests before.
+    pub is_on_reused_connection: bool,
+    /// How the request ended, once it has.
+    pub outcome: Option<Outcome>,
+    /// When the request ended; for a client that disconnected, when it closed the connection.
+    pub ended_at: Option<Instant>,
 }
 
 /// An attempt as its server saw it.
 #[derive(Debug, Clone)]
 pub struct Attempt {
-    /// Which request.
+    /// The request that was forwarded.
     pub request: RequestId,
-    /// Which server.
+    /// The number of the server in [`Record::servers`].
     pub server: usize,
-    /// When its first byte came.
-    pub first_byte: Instant,
-    /// When its last byte came.
-    pub complete: Instant,
-    /// Seconds that the server was told to have.
-    pub told_s: Option<f64>,
-    /// When its answer was written, or its connection ended.
-    pub ended: Option<Instant>,
-    /// It has provably not been executed, and the limiter was told so.
+    /// When the first byte arrived.
+    pub first_byte_at: Instant,
+    /// When the last byte arrived.
+    pub last_byte_at: Instant,
+    /// The deadline that the limiter propagated to the server, in seconds from now on.
+    pub propagated_deadline_s: Option<f64>,
+    /// When the response was written, or when the connection ended.
+    pub ended_at: Option<Instant>,
+    /// Whether the server proved to the limiter that it did not execute the request.
     pub is_unprocessed: bool,
 }
 
-/// When a limiter's process started and ended.
+/// One process of a limiter, from its start to its end.
 #[derive(Debug, Clone)]
-pub struct Life {
-    /// It was started.
-    pub started: Instant,
-    /// It answered that it is ready.
-    pub ready: Option<Instant>,
-    /// It was sent SIGTERM.
-    pub terminated: Option<Instant>,
-    /// It was sent SIGKILL while it ran.
-    pub killed: Option<Instant>,
-    /// It has ended.
-    pub ended: Option<Instant>,
-    /// Its exit code.
+pub struct Incarnation {
+    /// When the process was started.
+    pub started_at: Instant,
+    /// When the process first reported readiness.
+    pub ready_at: Option<Instant>,
+    /// When SIGTERM was sent.
+    pub terminated_at: Option<Instant>,
+    /// When SIGKILL was sent to the running process.
+    pub killed_at: Option<Instant>,
+    /// When the process ended.
+    pub ended_at: Option<Instant>,
+    /// The exit code; none if a signal ended the process.
     pub exit_code: Option<i32>,
 }
 
-/// A server and what was announced of it.
+/// A server and its announcements.
 #[derive(Debug, Clone)]
-pub struct ServerHistory {
-    /// Its id.
+pub struct ServerRecord {
+    /// The server id in endpoint lists.
     pub name: String,
-    /// Its zone.
+    /// Index of the zone.
     pub zone: usize,
-    /// Its cell.
+    /// The cell.
     pub cell: u32,
-    /// When it started, if that was during the run.
-    pub started: Option<Instant>,
-    /// When discovery had it draining or gone.
-    pub withdrawn: Option<Instant>,
+    /// When the server started, if it started during the run.
+    pub started_at: Option<Instant>,
+    /// When discovery first listed the server as draining or removed.
+    pub withdrawn_at: Option<Instant>,
 }
 
-/// How late the stand-ins themselves may read or write.
-pub const OWN_DELAY: Duration = Duration::from_millis(40);
+/// Identifies a notification about a server to one incarnation of a limiter.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
+pub struct NotificationKey {
+    /// The limiter.
+    pub limiter: usize,
+    /// The incarnation of the limiter.
+    pub incarnation: usize,
+    /// The number of the server.
+    pub server: usize,
+}
 
-/// A time in which a stand-in server itself did not run: what it read late says nothing of a limiter.
+/// A time in which the task of a stand-in server did not run. What the server read late during that time is
+/// not the limiter's fault.
 #[derive(Debug, Clone, Copy)]
-pub struct LateServer {
-    /// Which server.
+pub struct ServerStall {
+    /// The number of the server.
     pub server: usize,
-    /// Its last turn before.
+    /// The last iteration before the stall.
+    pub from: Instant,
+    /// The first iteration after the stall.
+    pub to: Instant,
+}
+
+/// A time in which discovery was unreachable for all limiters.
+#[derive(Debug, Clone, Copy)]
+pub struct Outage {
+    /// The beginning.
     pub from: Instant,
-    /// Its first turn after.
+    /// The end.
     pub to: Instant,
 }
 
+/// Something that the harness did to the fleet, for the timeline of a report.
+#[derive(Debug, Clone)]
+pub struct FaultEvent {
+    /// When it happened.
+    pub at: Instant,
+    /// What was done.
+    pub text: String,
+}
+
 /// What happened in a run.
 #[derive(Debug, Default)]
 pub struct Record {
-    /// Requests by number.
-    pub requests: BTreeMap<RequestId, Sent>,
-    /// Attempts in the order in which they were read.
+    /// Requests of clients.
+    pub requests: BTreeMap<RequestId, ClientRequest>,
+    /// Attempts in the order in which servers read them.
     pub attempts: Vec<Attempt>,
-    /// The starts of each limiter.
-    pub lives: HashMap<usize, Vec<Life>>,
+    /// The incarnations of each limiter.
+    pub incarnations: HashMap<usize, Vec<Incarnation>>,
     /// Servers by number.
-    pub servers: Vec<ServerHistory>,
-    /// When a limiter was told that a server is withdrawn, by limiter, start and server.
-    pub told: HashMap<(usize, usize, usize), Instant>,
-    /// When a limiter was told that a server has started, in the same way.
-    pub told_of_start: HashMap<(usize, usize, usize), Instant>,
-    /// When discovery was down, for all limiters.
-    pub outages: Vec<(Instant, Instant)>,
-    /// When stand-in servers did not run.
-    pub late_servers: Vec<LateServer>,
-    /// What else was wrong: crashes, refused starts, limits.
-    pub faults: Vec<String>,
-    /// What was done to the fleet, for a person to read.
-    pub events: Vec<(Instant, String)>,
+    pub servers: Vec<ServerRecord>,
+    /// When discovery wrote to a limiter that a server is draining or removed.
+    pub withdrawals_notified: HashMap<NotificationKey, Instant>,
+    /// When discovery wrote to a limiter that a server is serving.
+    pub starts_notified: HashMap<NotificationKey, Instant>,
+    /// Outages of discovery.
+    pub outages: Vec<Outage>,
+    /// Stalls of stand-in servers.
+    pub server_stalls: Vec<ServerStall>,
+    /// Faults of limiter processes: crashes, failed starts, exceeded limits.
+    pub process_faults: Vec<String>,
+    /// What the harness did to the fleet.
+    pub events: Vec<FaultEvent>,
 }
 
-/// A record that all tasks write to.
+/// A record that all tasks of a run write to.
 #[derive(Debug, Default)]
 pub struct SharedRecord(Mutex<Record>);
 
 impl SharedRecord {
-    /// The record, for a moment: never held across an await.
+    /// Locks the record. The guard must not be held across an await.
     pub fn lock(&self) -> MutexGuard<'_, Record> {
-        self.0.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
+        self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Notes what is done to the fleet.
-    pub fn event(&self, text: impl Into<String>) {
-        self.lock().events.push((Instant::now(), text.into()));
+    /// Records something that is done to the fleet now.
+    pub fn record_event(&self, text: impl Into<String>) {
+        self.lock().events.push(FaultEvent { at: Instant::now(), text: text.into() });
     }
 }
--- a/soak/src/report.rs
+++ b/soak/src/report.rs
@@ -1,94 +1,157 @@
-//! Tells how a run went.
+//! Prints the result of a run: one line of figures, and the violations with the timelines of their requests.
 
 use std::collections::BTreeMap;
 use std::time::Instant;
 
 use hdrhistogram::Histogram;
 
-use crate::judge::Violation;
-use crate::record::{Attempt, Ending, Record, RequestId, Sent};
-use crate::site::Site;
+use crate::deployment::Deployment;
+use crate::invariants::{Invariant, Violation};
+use crate::record::{Attempt, ClientRequest, Outcome, Record, RequestId};
 
-/// Most violations that are told in full, each with the timeline of its request.
-const MAX_TOLD: usize = 8;
-/// Events of the fleet told before and after a request.
+/// Most violations that are printed, each with the timeline of its request.
+const MAX_PRINTED_VIOLATIONS: usize = 8;
+/// Time before and after a request whose fault events belong to the timeline.
 const EVENTS_AROUND_S: f64 = 1.5;
+/// Significant digits of the latency histogram.
+const LATENCY_DIGITS: u8 = 2;
 
-/// Prints one line of figures, and what was broken.
-pub fn print(seed: u64, site: &Site, record: &Record, violations: &[Violation], began: Instant) {
-    let mut latency = Histogram::<u64>::new(2).ok();
-    let mut endings: BTreeMap<String, usize> = BTreeMap::new();
-    for sent in record.requests.values() {
-        let name = match &sent.ending {
-            Some(Ending::Answered { status, .. }) => status.to_string(),
-            Some(ending) => format!("{ending:?}"),
-            None => "open".to_string(),
-        };
-        *endings.entry(name).or_default() += 1;
-        if let (Some(latency), Some(ended)) = (&mut latency, sent.ended) {
-            latency.saturating_record((ended - sent.written).as_millis() as u64);
+/// A finished run and its result.
+pub struct Report<'a> {
+    /// The seed of the run.
+    pub seed: u64,
+    /// The deployment.
+    pub deployment: &'a Deployment,
+    /// The record of the run.
+    pub record: &'a Record,
+    /// The violations.
+    pub violations: &'a [Violation],
+    /// The beginning of the run; times are printed relative to it.
+    pub began_at: Instant,
+}
+
+impl Report<'_> {
+    /// Prints the report to standard output.
+    pub fn print(&self) {
+        self.print_figures();
+        self.print_violations();
+    }
+
+    fn print_figures(&self) {
+        let outcomes: Vec<String> =
+            self.count_outcomes().iter().map(|(name, count)| format!("{name} {count}")).collect();
+        let latencies = self.latencies();
+        let quantile = |quantile| latencies.as_ref().map_or(0, |values| values.value_at_quantile(quantile));
+        println!(
+            "seed {}: {} requests ({}), {} attempts, p50 {} ms, p99 {} ms, {} fault events, {}, {} server stalls, \
+             {} violations",
+            self.seed,
+            self.record.requests.len(),
+            outcomes.join(", "),
+            self.record.attempts.len(),
+            quantile(0.5),
+            quantile(0.99),
+            self.record.events.len(),
+            if self.deployment.subscribes { "subscribed lists" } else { "pushed lists" },
+            self.record.server_stalls.len(),
+            self.violations.len(),
+        );
+    }
+
+    fn count_outcomes(&self) -> BTreeMap<String, usize> {
+        let mut counts = BTreeMap::new();
+        for request in self.record.requests.values() {
+            let name = match &request.outcome {
+                Some(Outcome::Answered { status, .. }) => status.to_string(),
+                Some(Outcome::Closed) => "closed".to_string(),
+                Some(Outcome::TimedOut) => "timed out".to_string(),
+                Some(Outcome::Disconnected) => "disconnected".to_string(),
+                None => "open".to_string(),
+            };
+            *counts.entry(name).or_default() += 1;
         }
+        counts
     }
-    let endings: Vec<String> = endings.iter().map(|(name, count)| format!("{name} {count}")).collect();
-    let quantile = |q| latency.as_ref().map_or(0, |latency| latency.value_at_quantile(q));
-    println!(
-        "seed {seed}: {} requests ({}), {} attempts, p50 {} ms, p99 {} ms, {} faults, {}, {} late turns of servers, {} broken",
-        record.requests.len(),
-        endings.join(", "),
-        record.attempts.len(),
-        quantile(0.5),
-        quantile(0.99),
-        record.events.len(),
-        if site.subscribes { "subscribed" } else { "pushed" },
-        record.late_servers.len(),
-        violations.len(),
-    );
-    let mut by_rule: BTreeMap<&str, usize> = BTreeMap::new();
-    violations.iter().for_each(|violation| *by_rule.entry(violation.rule).or_default() += 1);
-    if !by_rule.is_empty() {
-        println!("  by rule: {by_rule:?}");
+
+    /// Returns the times from the last byte of each request to its outcome, in milliseconds.
+    fn latencies(&self) -> Option<Histogram<u64>> {
+        let mut latencies = Histogram::new(LATENCY_DIGITS).ok()?;
+        for request in self.record.requests.values() {
+            if let Some(ended_at) = request.ended_at {
+                latencies.saturating_record((ended_at - request.written_at).as_millis() as u64);
+            }
+        }
+        Some(latencies)
     }
-    for violation in violations.iter().take(MAX_TOLD) {
-        println!("  {}: {} {}", violation.rule, violation.text, id_text(violation.request));
-        if let Some((id, sent)) = violation.request.and_then(|id| record.requests.get_key_value(&id)) {
-            print_timeline(*id, sent, site, record, began);
+
+    fn print_violations(&self) {
+        let mut counts: BTreeMap<Invariant, usize> = BTreeMap::new();
+        for violation in self.violations {
+            *counts.entry(violation.invariant).or_default() += 1;
+        }
+        for (invariant, count) in counts {
+            println!("  {invariant}: {count} violations");
+        }
+        for violation in self.violations.iter().take(MAX_PRINTED_VIOLATIONS) {
+            let Violation { invariant, description, .. } = violation;
+            println!("  {invariant}: {description}");
+            if let Some(id) = violation.request {
+                self.print_timeline(id);
+            }
         }
     }
-}
 
-fn id_text(request: Option<RequestId>) -> String {
-    request.map_or_else(String::new, |id| format!("(request r-{id})"))
-}
+    fn print_timeline(&self, id: RequestId) {
+        let Some(request) = self.record.requests.get(&id) else { return };
+        self.print_request(id, request);
+        for attempt in self.record.attempts.iter().filter(|attempt| attempt.request == id) {
+            self.print_attempt(attempt);
+        }
+        let ended_s = request.ended_at.map_or(f64::NAN, |ended_at| self.seconds(ended_at));
+        println!("    {ended_s:9.3} {:?}", request.outcome);
+        self.print_events_around(request);
+    }
+
+    fn print_request(&self, id: RequestId, request: &ClientRequest) {
+        println!(
+            "    {:9.3} request r-{id} written to limiter {} (incarnation {}), class {}, plan {}, customer {}, timeout {:?}",
+            self.seconds(request.written_at),
+            request.limiter,
+            request.incarnation,
+            self.deployment.classes[request.class].name,
+            self.deployment.plans[request.plan].name,
+            request.customer,
+            request.timeout,
+        );
+    }
 
-fn print_timeline(id: RequestId, sent: &Sent, site: &Site, record: &Record, began: Instant) {
-    let at = |moment: Instant| moment.saturating_duration_since(began).as_secs_f64();
-    println!(
-        "    {:9.3} written to limiter {} (start {}), class {}, plan {}, customer {}, {:?} left",
-        at(sent.written),
-        sent.limiter,
-        sent.life,
-        site.classes[sent.class].name,
-        site.plans[sent.plan].name,
-        sent.customer,
-        sent.budget,
-    );
-    let attempts: Vec<&Attempt> = record.attempts.iter().filter(|attempt| attempt.request == id).collect();
-    for attempt in attempts {
-        let server = &record.servers[attempt.server];
+    fn print_attempt(&self, attempt: &Attempt) {
+        let server = &self.record.servers[attempt.server];
         println!(
-            "    {:9.3} attempt at {} (zone {}, cell {}), told {:?} s, ended {:?}{}",
-            at(attempt.first_byte),
+            "    {:9.3} attempt at {} (zone {}, cell {}), propagated deadline {:?} s, ended {:?}{}",
+            self.seconds(attempt.first_byte_at),
             server.name,
             server.zone,
             server.cell,
-            attempt.told_s,
-            attempt.ended.map(at),
+            attempt.propagated_deadline_s,
+            attempt.ended_at.map(|ended_at| self.seconds(ended_at)),
             if attempt.is_unprocessed { ", unprocessed" } else { "" },
         );
     }
-    println!("    {:9.3} {:?}", sent.ended.map_or(f64::NAN, at), sent.ending);
-    let (from, to) = (at(sent.written) - EVENTS_AROUND_S, sent.ended.map_or(f64::MAX, at) + EVENTS_AROUND_S);
-    for (moment, event) in record.events.iter().filter(|(moment, _)| (from..to).contains(&at(*moment))) {
-        println!("      {:9.3} {event}", at(*moment));
+
+    fn print_events_around(&self, request: &ClientRequest) {
+        let from_s = self.seconds(request.written_at) - EVENTS_AROUND_S;
+        let to_s = request.ended_at.map_or(f64::MAX, |ended_at| self.seconds(ended_at)) + EVENTS_AROUND_S;
+        for event in &self.record.events {
+            let at_s = self.seconds(event.at);
+            if (from_s..to_s).contains(&at_s) {
+                println!("      {at_s:9.3} {}", event.text);
+            }
+        }
+    }
+
+    /// Returns the time since the beginning of the run in seconds.
+    fn seconds(&self, moment: Instant) -> f64 {
+        moment.saturating_duration_since(self.began_at).as_secs_f64()
     }
 }
--- /dev/null
+++ b/soak/src/run/mod.rs
@@ -0,0 +1,173 @@
+//! One run: draws a deployment and faults from a seed, plays them, and checks the invariants.
+
+#[cfg(test)]
+mod tests;
+
+use std::io;
+use std::path::{Path, PathBuf};
+use std::sync::Arc;
+use std::time::{Duration, Instant};
+
+use clap::Args;
+use rand::rngs::StdRng;
+use rand::{Rng, SeedableRng};
+use tokio::time::sleep;
+
+use crate::addresses::Addresses;
+use crate::deployment::Deployment;
+use crate::faults;
+use crate::harness::Harness;
+use crate::invariants::{FinishedRun, Timing, Violation};
+use crate::limiter_process::{EnvironmentVariable, LaunchOptions};
+use crate::record::SharedRecord;
+use crate::report::Report;
+
+/// Time after the last request within which all requests end.
+const SETTLE_TIME: Duration = Duration::from_secs(5);
+/// Fraction of the runs that begin with a quiet period, after which limiters have measured nothing of the
+/// servers.
+const QUIET_START_FRACTION: f64 = 0.25;
+/// Duration of that quiet period.
+const QUIET_PERIOD: Duration = Duration::from_secs(8);
+/// Steps of the wall clocks in seconds.
+const CLOCK_STEPS_S: [i64; 5] = [0, 3, -3, 3600, -3600];
+/// Of a thousand connections that break in the preloaded library, how many report another error than a reset.
+const BROKEN_PER_MILLE: u32 = 500;
+
+/// How a seed is played.
+#[derive(Args, Clone)]
+pub struct RunOptions {
+    /// How long requests are sent, in seconds.
+    #[arg(long, default_value_t = 60)]
+    pub seconds: u64,
+    /// Number of limiters.
+    #[arg(long, default_value_t = 24)]
+    pub limiters: usize,
+    /// Number of servers at the start.
+    #[arg(long, default_value_t = 12)]
+    pub servers: usize,
+    /// The limiter program.
+    #[arg(long, default_value = "target/release/limiter")]
+    pub program: PathBuf,
+    /// The fault injection library, preloaded into every other limiter. Without it, no system calls fail.
+    #[arg(long)]
+    pub library: Option<PathBuf>,
+    /// Leaves out violations that depend on how soon the stand-ins run, for machines that are busy with other
+    /// work.
+    #[arg(long)]
+    pub untimed: bool,
+    /// Folder for configurations and logs. Those of a seed without violations are removed.
+    #[arg(long, default_value = "/tmp/soak")]
+    pub folder: PathBuf,
+}
+
+/// Everything that a seed decides.
+struct Draw {
+    deployment: Deployment,
+    /// The environment of the fault injection library.
+    library_environment: Vec<EnvironmentVariable>,
+    harness_seed: u64,
+    /// Seeds the zones, cells and latencies of the first servers.
+    server_rng: StdRng,
+    has_quiet_start: bool,
+    clients_seed: u64,
+    /// Draws the faults.
+    fault_rng: StdRng,
+}
+
+impl Draw {
+    /// Draws a run. The order of the draws decides what a seed means and must not change.
+    fn new(seed: u64, limiters: usize, servers: usize) -> Draw {
+        let mut rng = StdRng::seed_from_u64(seed);
+        let deployment = Deployment::draw(&mut rng, limiters, servers);
+        let library_environment = draw_library_environment(&mut rng, &deployment);
+        let harness_seed = rng.random();
+        let server_rng = rng.clone();
+        for _ in 0..deployment.servers {
+            let _: u64 = rng.random();
+        }
+        Draw {
+            deployment,
+            library_environment,
+            harness_seed,
+            server_rng,
+            has_quiet_start: rng.random_bool(QUIET_START_FRACTION),
+            clients_seed: rng.random(),
+            fault_rng: rng,
+        }
+    }
+}
+
+/// Draws how often system calls fail, and how the wall clock is stepped.
+fn draw_library_environment(rng: &mut StdRng, deployment: &Deployment) -> Vec<EnvironmentVariable> {
+    let clock_step_s = CLOCK_STEPS_S[rng.random_range(0..CLOCK_STEPS_S.len())];
+    let mut per_mille = |max: u32| rng.random_range(0..=max).to_string();
+    [
+        ("FAULT_SHIM_SHORT", per_mille(50)),
+        ("FAULT_SHIM_INTERRUPT", per_mille(20)),
+        ("FAULT_SHIM_BROKEN", BROKEN_PER_MILLE.to_string()),
+        ("FAULT_SHIM_ACCEPT", per_mille(20)),
+        ("FAULT_SHIM_CONNECT", per_mille(20)),
+        ("FAULT_SHIM_SOCKET", per_mille(20)),
+        ("FAULT_SHIM_CLOCK_S", deployment.clock_offset_s.to_string()),
+        ("FAULT_SHIM_STEP_S", clock_step_s.to_string()),
+    ]
+    .map(|(name, value)| EnvironmentVariable { name, value })
+    .to_vec()
+}
+
+/// Plays one seed, prints a report, and returns the violations.
+///
+/// # Errors
+/// A stand-in cannot listen, or the program or the folder does not exist.
+pub async fn play(seed: u64, options: &RunOptions) -> io::Result<Vec<Violation>> {
+    let mut draw = Draw::new(seed, options.limiters, options.servers);
+    let folder = options.folder.join(format!("{}-{seed}", std::process::id()));
+    std::fs::create_dir_all(&folder)?;
+    let record = Arc::new(SharedRecord::default());
+    let launch_options = launch_options(&draw, options, &folder)?;
+    let began_at = Instant::now();
+    let harness = Harness::new(launch_options, record.clone(), draw.harness_seed).await?;
+    harness.start(&mut draw.server_rng).await?;
+    inject_faults(&harness, &mut draw, Duration::from_secs(options.seconds)).await;
+    harness.stop().await;
+    let record = record.lock();
+    let mut violations = FinishedRun::new(&record, &draw.deployment).violations();
+    if options.untimed {
+        violations.retain(|violation| violation.timing == Timing::Independent);
+    }
+    let deployment = &draw.deployment;
+    Report { seed, deployment, record: &record, violations: &violations, began_at }.print();
+    if violations.is_empty() {
+        let _ = std::fs::remove_dir_all(&folder);
+    } else {
+        println!("  logs are in {}", folder.display());
+    }
+    Ok(violations)
+}
+
+fn launch_options(draw: &Draw, options: &RunOptions, folder: &Path) -> io::Result<LaunchOptions> {
+    Ok(LaunchOptions {
+        program: options.program.canonicalize()?,
+        folder: folder.to_path_buf(),
+        log_level: "debug",
+        addresses: Addresses::of_process(),
+        deployment: draw.deployment.clone(),
+        library: options.library.as_ref().map(|library| library.canonicalize()).transpose()?,
+        library_environment: draw.library_environment.clone(),
+    })
+}
+
+/// Sends requests and injects faults for the given time, and waits until all requests have ended.
+async fn inject_faults(harness: &Arc<Harness>, draw: &mut Draw, duration: Duration) {
+    if draw.has_quiet_start {
+        harness.record.record_event(format!("quiet period of {QUIET_PERIOD:?}"));
+        sleep(QUIET_PERIOD).await;
+    }
+    let until = Instant::now() + duration;
+    let clients = tokio::spawn(harness.clients.clone().run(draw.clients_seed, until));
+    let limit_checks = tokio::spawn(harness.clone().check_limits_until(until));
+    faults::inject_until(harness, until, &mut draw.fault_rng).await;
+    let _ = tokio::join!(clients, limit_checks);
+    sleep(SETTLE_TIME).await;
+}
--- /dev/null
+++ b/soak/src/server/accept.rs
@@ -0,0 +1,77 @@
+//! The accept loop of a server, and the limits on the reachability of its connections.
+
+use std::sync::Arc;
+use std::time::{Duration, Instant};
+
+use socket2::SockRef;
+use tokio::net::{TcpListener, TcpStream};
+use tokio::task::JoinSet;
+use tokio::time::timeout;
+
+use super::{Reachability, Server};
+use crate::net;
+use crate::record::{ServerStall, HARNESS_DELAY};
+
+/// The accept loop runs at least this often, so that a stall of the harness can be recognized.
+const MAX_ACCEPT_WAIT: Duration = Duration::from_millis(20);
+/// Timeout of the connection that fills the accept queue. If it is not established by then, another
+/// connection already fills the queue.
+const FILLER_TIMEOUT: Duration = Duration::from_millis(50);
+
+impl Server {
+    /// Accepts connections until the server is stopped. Dropping the set of connections resets them, as the
+    /// end of a process would.
+    pub(super) async fn accept_connections(self: Arc<Self>, listener: TcpListener) {
+        let mut connections = JoinSet::new();
+        let mut last_iteration_at = Instant::now();
+        while !self.is_stopped() {
+            if *self.reachability.borrow() == Reachability::Open {
+                if let Ok(Ok((stream, _))) = timeout(MAX_ACCEPT_WAIT, listener.accept()).await {
+                    connections.spawn(self.clone().serve_while_reachable(stream));
+                }
+            } else {
+                self.block_new_connections(&listener).await;
+            }
+            while connections.try_join_next().is_some() {}
+            last_iteration_at = self.record_iteration(last_iteration_at);
+        }
+    }
+
+    /// Records a stall if the accept loop was late. Returns the time of this iteration.
+    fn record_iteration(&self, last_iteration_at: Instant) -> Instant {
+        let now = Instant::now();
+        if now.duration_since(last_iteration_at) > MAX_ACCEPT_WAIT + HARNESS_DELAY {
+            let stall = ServerStall { server: self.number, from: last_iteration_at, to: now };
+            self.record.lock().server_stalls.push(stall);
+        }
+        now
+    }
+
+    /// Prevents new connections from being established until the server is open again: the accept queue is as
+    /// short as the system allows, and one connection fills it.
+    async fn block_new_connections(&self, listener: &TcpListener) {
+        let mut reachability = self.reachability.subscribe();
+        let Ok(address) = listener.local_addr() else { return };
+        let _ = SockRef::from(listener).listen(0);
+        let filler = timeout(FILLER_TIMEOUT, TcpStream::connect(address)).await;
+        while *reachability.borrow_and_update() != Reachability::Open && !self.is_stopped() {
+            let _ = timeout(MAX_ACCEPT_WAIT, reachability.changed()).await;
+        }
+        let _ = SockRef::from(listener).listen(net::ACCEPT_QUEUE);
+        drop(filler);
+    }
+
+    /// Serves a connection until the server is partitioned. The connection then carries nothing until the end
+    /// of the partition, and is reset.
+    async fn serve_while_reachable(self: Arc<Self>, stream: TcpStream) {
+        let mut reachability = self.reachability.subscribe();
+        // A second descriptor keeps the socket open beyond the end of the service.
+        let Ok(descriptor) = SockRef::from(&stream).try_clone() else { return };
+        tokio::select! {
+            () = self.clone().serve(stream) => return,
+            _ = reachability.wait_for(|reachability| *reachability == Reachability::Partitioned) => {}
+        }
+        let _ = reachability.wait_for(|reachability| *reachability == Reachability::Open).await;
+        let _ = descriptor.set_linger(Some(Duration::ZERO));
+    }
+}
