--- a/fault-shim/src/plan.rs
+++ b/fault-shim/src/plan.rs
@@ -1,62 +1,62 @@
-//! Which calls fail and how the wall clock is stepped, by the environment of the process.
+//! Which system calls fail, and how the wall clock is stepped, as the environment of the process says.
 //!
 //! | variable | meaning | unit |
 //! | --- | --- | --- |
-//! | `FAULT_SHIM_SEED` | which calls are struck | any number |
-//! | `FAULT_SHIM_SHORT` | reads and writes on streams that transfer only a part | calls of 1000 |
-//! | `FAULT_SHIM_INTERRUPT` | reads, writes, accepts, connects and waits that end with EINTR | calls of 1000 |
-//! | `FAULT_SHIM_BROKEN` | broken connections that show as ETIMEDOUT or EHOSTUNREACH | resets of 1000 |
-//! | `FAULT_SHIM_ACCEPT` | accepts that fail for a moment | calls of 1000 |
-//! | `FAULT_SHIM_CONNECT` | connects that fail for a moment | calls of 1000 |
-//! | `FAULT_SHIM_SOCKET` | sockets that cannot be made for a moment, once the process has started | calls of 1000 |
-//! | `FAULT_SHIM_EARLY` | 1 has sockets fail during the start, too | |
-//! | `FAULT_SHIM_CLOCK_S` | the wall clock is off by this from the start | seconds |
-//! | `FAULT_SHIM_STEP_S` | the wall clock is stepped by this, every [`STEP_INTERVAL`] back and forth | seconds |
+//! | `FAULT_SHIM_SEED` | seeds the random numbers that select the failing calls | any number |
+//! | `FAULT_SHIM_SHORT` | reads and writes on streams that are cut short | calls of 1000 |
+//! | `FAULT_SHIM_INTERRUPT` | reads, writes, accepts, connects and waits that fail with EINTR | calls of 1000 |
+//! | `FAULT_SHIM_BROKEN` | resets that are reported as ETIMEDOUT or EHOSTUNREACH | resets of 1000 |
+//! | `FAULT_SHIM_ACCEPT` | accepts that fail with a transient error | calls of 1000 |
+//! | `FAULT_SHIM_CONNECT` | connects that fail with a transient error | calls of 1000 |
+//! | `FAULT_SHIM_SOCKET` | sockets that cannot be created, after the start of the process | calls of 1000 |
+//! | `FAULT_SHIM_EARLY` | 1: sockets fail during the start as well | |
+//! | `FAULT_SHIM_CLOCK_S` | constant offset of the wall clock | seconds |
+//! | `FAULT_SHIM_STEP_S` | step of the wall clock, applied and reverted every [`STEP_INTERVAL`] | seconds |
 
 use std::str::FromStr;
 use std::sync::OnceLock;
 use std::time::{Duration, Instant};
 
-/// How often the wall clock is stepped.
+/// Interval between two steps of the wall clock.
 pub const STEP_INTERVAL: Duration = Duration::from_secs(3);
-/// A process has started by then: the sockets on which it listens are there.
-const START: Duration = Duration::from_millis(300);
+/// Time after which a process counts as started: its listening sockets exist.
+const START_TIME: Duration = Duration::from_millis(300);
 
-/// A way for a call to fail.
+/// A fault of a system call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
-    /// Only a part of the bytes is transferred.
+    /// Only some of the bytes are transferred.
     Short,
     /// A signal interrupts the call.
     Interrupt,
-    /// A broken connection shows as something else than a reset.
+    /// A broken connection is reported with another error than a reset.
     Broken,
     /// A connection cannot be accepted.
     Accept,
-    /// A connection cannot be made.
+    /// A connection cannot be established.
     Connect,
-    /// A socket cannot be made.
+    /// A socket cannot be created.
     Socket,
 }
 
-/// The variable that says how often, for each fault.
-const VARIABLES: [(Fault, &str); 6] = [
-    (Fault::Short, "FAULT_SHIM_SHORT"),
-    (Fault::Interrupt, "FAULT_SHIM_INTERRUPT"),
-    (Fault::Broken, "FAULT_SHIM_BROKEN"),
-    (Fault::Accept, "FAULT_SHIM_ACCEPT"),
-    (Fault::Connect, "FAULT_SHIM_CONNECT"),
-    (Fault::Socket, "FAULT_SHIM_SOCKET"),
+/// The variables that set the frequency of each fault, in the order of [`Fault`].
+const FREQUENCY_VARIABLES: [&str; 6] = [
+    "FAULT_SHIM_SHORT",
+    "FAULT_SHIM_INTERRUPT",
+    "FAULT_SHIM_BROKEN",
+    "FAULT_SHIM_ACCEPT",
+    "FAULT_SHIM_CONNECT",
+    "FAULT_SHIM_SOCKET",
 ];
 
-/// What happens to the process.
+/// The faults of this process.
 #[derive(Debug)]
 pub struct Plan {
-    /// Which calls are struck.
+    /// Seeds the random numbers that select the failing calls.
     pub seed: u64,
-    per_mille: [u64; VARIABLES.len()],
-    strikes_early: bool,
-    clock_s: i64,
+    per_mille: [u64; FREQUENCY_VARIABLES.len()],
+    fails_during_start: bool,
+    clock_offset_s: i64,
     step_s: i64,
     started: Instant,
 }
@@ -65,40 +65,40 @@
     fn from_environment() -> Plan {
         Plan {
             seed: number("FAULT_SHIM_SEED"),
-            per_mille: VARIABLES.map(|(_, variable)| number(variable)),
-            strikes_early: number::<u8>("FAULT_SHIM_EARLY") == 1,
-            clock_s: number("FAULT_SHIM_CLOCK_S"),
+            per_mille: FREQUENCY_VARIABLES.map(number),
+            fails_during_start: number::<u8>("FAULT_SHIM_EARLY") == 1,
+            clock_offset_s: number("FAULT_SHIM_CLOCK_S"),
             step_s: number("FAULT_SHIM_STEP_S"),
             started: Instant::now(),
         }
     }
 
-    /// How many calls of a thousand fail in this way.
+    /// Returns how many calls per thousand fail in this way.
     pub fn per_mille(&self, fault: Fault) -> u64 {
         self.per_mille[fault as usize]
     }
 
-    /// Whether sockets may fail by now.
-    pub fn is_past_start(&self) -> bool {
-        self.strikes_early || self.started.elapsed() > START
+    /// Returns whether the creation of sockets may fail now.
+    pub fn may_fail_sockets(&self) -> bool {
+        self.fails_during_start || self.started.elapsed() > START_TIME
     }
 
-    /// How far the wall clock is off now, in seconds.
-    pub fn wall_clock_step_s(&self) -> i64 {
+    /// Returns the present offset of the wall clock in seconds.
+    pub fn wall_clock_offset_s(&self) -> i64 {
         if self.step_s == 0 {
-            return self.clock_s;
+            return self.clock_offset_s;
         }
         let steps = self.started.elapsed().as_millis() / STEP_INTERVAL.as_millis();
-        self.clock_s + if steps % 2 == 1 { self.step_s } else { 0 }
+        self.clock_offset_s + if steps % 2 == 1 { self.step_s } else { 0 }
     }
 }
 
-/// The value of a variable; one that is absent or no number counts as 0.
+/// Returns the number in a variable, or 0 if the variable is absent or not a number.
 fn number<T: FromStr + Default>(variable: &str) -> T {
     std::env::var(variable).ok().and_then(|value| value.parse().ok()).unwrap_or_default()
 }
 
-/// The plan of this process.
+/// Returns the plan of this process, read from the environment at the first call.
 pub fn plan() -> &'static Plan {
     static PLAN: OnceLock<Plan> = OnceLock::new();
     PLAN.get_or_init(Plan::from_environment)
--- a/fault-shim/src/real.rs
+++ b/fault-shim/src/real.rs
@@ -1,4 +1,4 @@
-//! The functions of the C library that this library stands before.
+//! The original functions of the C library, looked up with `dlsym` at their first use.
 
 use std::ffi::CStr;
 use std::sync::atomic::{AtomicPtr, Ordering};
@@ -7,7 +7,7 @@
     c_int, c_void, clockid_t, epoll_event, iovec, msghdr, size_t, sockaddr, socklen_t, ssize_t, timespec,
 };
 
-/// Looks a function up once.
+/// Returns the address of a function, and stores it in `found` for the next call.
 fn resolve(name: &CStr, found: &AtomicPtr<c_void>) -> *mut c_void {
     let known = found.load(Ordering::Relaxed);
     if !known.is_null() {
