--- a/simulator-adapter/src/convert.rs
+++ b/simulator-adapter/src/convert.rs
@@ -1,4 +1,4 @@
-//! Translates between the simulator's JSON and the decision module's types.
+//! Translates between the messages of the wire and the types of `limiter-core`.
 
 pub(crate) mod action;
 pub(crate) mod event;
--- a/simulator-adapter/src/convert/action.rs
+++ b/simulator-adapter/src/convert/action.rs
@@ -1,4 +1,4 @@
-//! From the decision module's actions to messages.
+//! Translates actions of `limiter-core` to messages.
 
 use std::sync::Arc;
 
@@ -7,10 +7,10 @@
 use crate::hex;
 use crate::wire::action::OutboundMessage;
 
-/// The limiter bounds attempts by timers of its own, so that the simulator need not end them.
+/// The limiter bounds attempts with its own timers, so that the simulator need not time them out.
 const NO_ATTEMPT_TIMEOUT_MS: Millis = 0.0;
 
-/// The message with which an instance asks for an action.
+/// Returns the message with which an instance requests an action.
 pub(crate) fn outbound_message(limiter_id: Arc<str>, action: Action) -> OutboundMessage {
     match action {
         Action::Forward { id, server, .. } => OutboundMessage::Forward {
@@ -37,7 +37,8 @@
     }
 }
 
-/// The words are part of what the simulator records and compares: they cannot follow those of the core.
+/// Returns the log text of an ejection. The simulator records and compares this text, so that it cannot
+/// follow the terms of `limiter-core`.
 fn ejection_text(ejection: &Ejection) -> String {
     let reason = match ejection.reason {
         EjectionReason::Errors => "failing",
--- a/simulator-adapter/src/convert/event.rs
+++ b/simulator-adapter/src/convert/event.rs
@@ -1,4 +1,4 @@
-//! From messages to the decision module's events.
+//! Translates messages to events of `limiter-core`.
 
 use std::sync::Arc;
 
@@ -8,7 +8,10 @@
 use crate::names::{NameIndex, UnknownName};
 use crate::wire::event::{AttemptEnd, EndpointCondition, EndpointEntry, OutcomeCode, RequestArrival};
 
-/// A request that arrived.
+/// Returns the request of an arrival.
+///
+/// # Errors
+/// The class or plan is unknown, or the customer is not a number in hex digits.
 pub(crate) fn request(arrival: &RequestArrival, names: &NameIndex) -> Result<Request, MessageError> {
     Ok(Request {
         id: arrival.request_id,
@@ -27,7 +30,7 @@
     CustomerId::from_str_radix(text, 16).map_err(|_| MessageError::InvalidCustomer(text.to_string()))
 }
 
-/// The event that an attempt ended.
+/// Returns the event for the end of an attempt.
 pub(crate) fn attempt_ended(end: &AttemptEnd) -> Event {
     Event::AttemptEnded {
         id: end.request_id,
@@ -39,15 +42,18 @@
     }
 }
 
-/// A server that discovery announces.
-pub(crate) fn endpoint(record: &EndpointEntry, names: &NameIndex) -> Result<Endpoint, UnknownName> {
+/// Returns an announced server.
+///
+/// # Errors
+/// The zone is unknown.
+pub(crate) fn endpoint(entry: &EndpointEntry, names: &NameIndex) -> Result<Endpoint, UnknownName> {
     Ok(Endpoint {
-        server: Arc::from(record.server.as_str()),
-        zone: names.zone(&record.zone)?,
-        cell: record.cell.unwrap_or_default(),
-        state: record.state.into(),
-        weight: record.weight.unwrap_or_default(),
-        started_at: record.started_at_ms.unwrap_or_default(),
+        server: Arc::from(entry.server.as_str()),
+        zone: names.zone(&entry.zone)?,
+        cell: entry.cell.unwrap_or_default(),
+        state: entry.state.into(),
+        weight: entry.weight.unwrap_or_default(),
+        started_at: entry.started_at_ms.unwrap_or_default(),
     })
 }
 
--- a/simulator-adapter/src/convert/settings.rs
+++ b/simulator-adapter/src/convert/settings.rs
@@ -1,4 +1,4 @@
-//! From the settings JSON to the decision module's settings.
+//! Translates the settings JSON to the settings of `limiter-core`.
 
 use limiter_core::{DedupScope, Idempotency, Plan, RequestClass, Settings};
 use thiserror::Error;
@@ -8,23 +8,23 @@
     ClassSettings, DedupScopeKind, DiscoveryMode, IdempotencyKind, InstanceSettings, PlanSettings,
 };
 
-/// Why settings that are well-formed contradict themselves.
+/// A contradiction between values of well-formed settings.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum SettingsJsonError {
-    /// The limiter's own zone is not among the zones.
+    /// The zone of the limiter is not in the list of zones.
     #[error(transparent)]
     UnknownZone(#[from] UnknownName),
-    /// Requests of this class carry idempotency keys, but nothing says which servers share them.
+    /// Requests of this class carry idempotency keys, and no scope is set for them.
     #[error("class '{0}' is keyed without KeyScope")]
     MissingKeyScope(String),
 }
 
 impl InstanceSettings {
-    /// The decision module's settings, and the names that stand for indexes into them. Whether the values can be
-    /// served is checked by [`Settings::validate`] alone.
+    /// Returns the settings of `limiter-core`, and the index of the names in them. Only
+    /// [`Settings::validate`] checks the values themselves.
     ///
     /// # Errors
-    /// The first contradiction between two of the values.
+    /// The first contradiction between two values.
     pub fn into_core(self) -> Result<(Settings, NameIndex), SettingsJsonError> {
         let names = self.name_index();
         let classes = self.classes.iter().map(request_class).collect::<Result<Vec<_>, _>>()?;
--- a/simulator-adapter/src/error.rs
+++ b/simulator-adapter/src/error.rs
@@ -1,4 +1,4 @@
-//! Why the adapter cannot go on. The messages name keys and messages as the wire does.
+//! The errors that end the adapter. Their texts name messages and keys as the wire does.
 
 use std::io;
 
@@ -9,11 +9,11 @@
 use crate::hex::HexError;
 use crate::names::UnknownName;
 
-/// The line of input at which the adapter has to stop, and why.
+/// A line of input that cannot be handled. The adapter stops at the first one.
 #[derive(Debug, Error)]
 #[error("line {line}: {source}")]
 pub struct AdapterError {
-    /// Number of the line, from 1.
+    /// Number of the line, starting at 1.
     pub(crate) line: usize,
     pub(crate) source: LineError,
 }
@@ -30,7 +30,7 @@
     /// A message of the batch cannot be handled.
     #[error("event {index}: {source}")]
     Message {
-        /// The message's place in the batch, from 0.
+        /// Position of the message in the batch, starting at 0.
         index: usize,
         source: MessageError,
     },
@@ -39,28 +39,28 @@
 /// Why a message cannot be handled.
 #[derive(Debug, Error)]
 pub(crate) enum MessageError {
-    /// It is addressed to an instance that was never started or has been stopped.
+    /// The message is addressed to an instance that is not running.
     #[error("unknown instance '{0}'")]
     UnknownInstance(String),
-    /// It names a class, plan or zone that its instance's settings do not.
+    /// The message names a class, plan or zone that the settings of its instance do not contain.
     #[error(transparent)]
     UnknownName(#[from] UnknownName),
-    /// Its customer is not a number in hex digits.
+    /// The customer is not a number in hex digits.
     #[error("ClientId '{0}' is not 16 hex digits")]
     InvalidCustomer(String),
-    /// The gossip message that it carries is not encoded in hex.
+    /// The gossip message is not encoded in hex.
     #[error("Body {0}")]
     InvalidBody(#[from] HexError),
-    /// It announces endpoints without saying which.
+    /// An announcement of endpoints refers to no page.
     #[error("BACKENDS_CHANGED without Page")]
     MissingPage,
-    /// It announces the endpoints of a page that was never sent.
+    /// An announcement of endpoints refers to a page that was never sent.
     #[error("no CENSUS of page {0}")]
     UnknownPage(u32),
-    /// The settings of a new instance contradict themselves.
+    /// The settings of a new instance contradict each other.
     #[error(transparent)]
     SettingsJson(#[from] SettingsJsonError),
-    /// The settings of a new instance cannot be served.
+    /// The settings of a new instance have an invalid value.
     #[error(transparent)]
     Settings(#[from] SettingsError),
 }
--- a/simulator-adapter/src/hex.rs
+++ b/simulator-adapter/src/hex.rs
@@ -1,10 +1,11 @@
-//! Bytes as pairs of hex digits.
+//! Encodes and decodes bytes as pairs of hex digits.
 
 use thiserror::Error;
 
+/// The digits in the order of their values.
 const DIGITS: &[u8; 16] = b"0123456789abcdef";
 
-/// The text that is not a sequence of pairs of hex digits.
+/// The text is not a sequence of pairs of hex digits.
 #[derive(Debug, Error)]
 #[error("'{0}' is not hex")]
 pub(crate) struct HexError(String);
@@ -16,6 +17,9 @@
 }
 
 /// Decodes digits of either case.
+///
+/// # Errors
+/// The text has an odd length or contains another character than hex digits.
 pub(crate) fn decode(text: &str) -> Result<Vec<u8>, HexError> {
     let digits: Option<Vec<u8>> = text.chars().map(digit_value).collect();
     match digits {
--- a/simulator-adapter/src/host.rs
+++ b/simulator-adapter/src/host.rs
@@ -1,4 +1,4 @@
-//! Owns the instances and the announced endpoints, and brings each message to its instance.
+//! Owns the instances and the endpoint pages, and delivers each message to its instance.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -14,24 +14,25 @@
 use crate::wire::event::{EndpointEntry, EndpointScope, InboundBatch, InboundMessage, RequestArrival};
 use crate::wire::settings::InstanceSettings;
 
+/// A limiter with the names of its settings.
 struct Instance {
     id: Arc<str>,
     names: NameIndex,
     limiter: Limiter,
 }
 
-/// The instances that run, and what has been announced to all of them.
+/// The running instances, and the endpoint pages that messages to any of them may refer to.
 #[derive(Default)]
 pub(crate) struct Host {
     instances: BTreeMap<String, Instance>,
-    /// Endpoint lists by their page; a page that is sent again counts for the messages after it.
+    /// Endpoint lists by page number. A page that is sent again replaces the earlier one.
     endpoint_pages: BTreeMap<u32, Vec<EndpointEntry>>,
-    /// Empty between messages; kept for its capacity.
+    /// Empty between messages; reused to avoid allocations.
     actions: Vec<Action>,
 }
 
 impl Host {
-    /// Handles the messages of a batch in their order.
+    /// Handles the messages of a batch in order, and returns the replies.
     pub(crate) fn handle_batch(&mut self, batch: InboundBatch) -> Result<OutboundBatch, LineError> {
         let mut messages = Vec::new();
         for (index, message) in batch.messages.into_iter().enumerate() {
@@ -81,13 +82,13 @@
                 self.deliver(now, &limiter_id, Event::GossipReceived { from, body }, replies)
             }
             InboundMessage::ProbeEnded { limiter_id, .. }
-            | InboundMessage::CounterRead { limiter_id, .. } => self.ignore(&limiter_id),
+            | InboundMessage::CounterRead { limiter_id, .. } => self.ignore_message(&limiter_id),
         }
     }
 
-    /// Limiters neither probe servers nor use the shared counter: what comes of either means nothing to them, but the
-    /// instance has to exist all the same.
-    fn ignore(&self, limiter_id: &str) -> Result<(), MessageError> {
+    /// Checks that an instance exists and ignores a message to it. Limiters send no health checks and do not
+    /// use the shared counter, so that the results of either have no effect.
+    fn ignore_message(&self, limiter_id: &str) -> Result<(), MessageError> {
         self.instance(limiter_id).map(|_| ())
     }
 
@@ -114,7 +115,8 @@
         Ok(Event::RequestArrived(request(arrival, &instance.names)?))
     }
 
-    /// A number that encodes no token means nothing to a limiter, but its instance has to exist all the same.
+    /// Delivers a timer event. A number that does not encode a token has no effect, but the instance has to
+    /// exist.
     fn fire_timer(
         &mut self,
         now: Millis,
@@ -124,7 +126,7 @@
     ) -> Result<(), MessageError> {
         match TimerToken::decode(token) {
             Some(token) => self.deliver(now, limiter_id, Event::TimerFired { token }, replies),
-            None => self.ignore(limiter_id),
+            None => self.ignore_message(limiter_id),
         }
     }
 
--- a/simulator-adapter/src/lib.rs
+++ b/simulator-adapter/src/lib.rs
@@ -1,8 +1,11 @@
-//! Hosts instances of the `limiter-core` decision module on the simulator's JSON wire: each line of input is a
-//! batch of messages to the instances, each line of output the messages with which they answer it. The adapter
-//! itself decides nothing.
+//! Hosts many instances of `limiter-core` behind the simulator's JSON protocol. Each line of input is a batch
+//! of messages to the instances; each line of output is the batch of their replies. The adapter makes no
+//! decisions.
 //!
-//! The program `limiter` takes its [`InstanceSettings`] from the same JSON.
+//! Begin with [`serve()`], the loop over lines. `host` owns the instances and delivers messages to them, `wire`
+//! declares the JSON messages, and `convert` translates between these and the types of `limiter-core`.
+//!
+//! The program `limiter` reads its [`InstanceSettings`] from the same JSON form.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/simulator-adapter/src/main.rs
+++ b/simulator-adapter/src/main.rs
@@ -1,4 +1,4 @@
-//! Serves the simulator on standard input and output until the input ends or cannot be served.
+//! Serves the simulator on standard input and output until the input ends or a line cannot be handled.
 #![forbid(unsafe_code)]
 
 use std::io;
--- a/simulator-adapter/src/names.rs
+++ b/simulator-adapter/src/names.rs
@@ -1,11 +1,12 @@
-//! Classes, plans and zones have names in the settings and on the wire, and indexes in the decision module.
+//! The index of names. Classes, plans and zones have names in the settings and on the wire, and indexes in
+//! `limiter-core`.
 
 use std::collections::BTreeMap;
 use std::fmt;
 
 use thiserror::Error;
 
-/// What a name stands for.
+/// What a name denotes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NameKind {
     /// A request class.
@@ -30,13 +31,13 @@
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error("unknown {kind} '{name}'")]
 pub struct UnknownName {
-    /// What it was looked up as.
+    /// What the name was expected to denote.
     pub kind: NameKind,
     /// The name.
     pub name: String,
 }
 
-/// The indexes that the names in one instance's settings stand for.
+/// Maps the names in the settings of one instance to indexes.
 pub struct NameIndex {
     classes: BTreeMap<String, usize>,
     plans: BTreeMap<String, usize>,
@@ -44,7 +45,7 @@
 }
 
 impl NameIndex {
-    /// Numbers each kind of name in the order given. Of equal names the last one counts.
+    /// Numbers the names of each kind in the given order. Of equal names the last one counts.
     pub(crate) fn new<'a>(
         classes: impl Iterator<Item = &'a str>,
         plans: impl Iterator<Item = &'a str>,
@@ -57,31 +58,31 @@
         }
     }
 
-    /// The index of a class in [`limiter_core::Settings::classes`].
+    /// Returns the index of a class in [`limiter_core::Settings::classes`].
     ///
     /// # Errors
-    /// The settings name no such class.
+    /// The settings contain no such class.
     pub fn class(&self, name: &str) -> Result<usize, UnknownName> {
-        look_up(&self.classes, NameKind::Class, name)
+        find_index(&self.classes, NameKind::Class, name)
     }
 
-    /// The index of a plan in [`limiter_core::Settings::plans`].
+    /// Returns the index of a plan in [`limiter_core::Settings::plans`].
     ///
     /// # Errors
-    /// The settings name no such plan.
+    /// The settings contain no such plan.
     pub fn plan(&self, name: &str) -> Result<usize, UnknownName> {
-        look_up(&self.plans, NameKind::Plan, name)
+        find_index(&self.plans, NameKind::Plan, name)
     }
 
-    /// The number of a zone.
+    /// Returns the index of a zone.
     ///
     /// # Errors
-    /// The settings name no such zone.
+    /// The settings contain no such zone.
     pub fn zone(&self, name: &str) -> Result<u32, UnknownName> {
-        look_up(&self.zones, NameKind::Zone, name)
+        find_index(&self.zones, NameKind::Zone, name)
     }
 }
 
-fn look_up<T: Copy>(index: &BTreeMap<String, T>, kind: NameKind, name: &str) -> Result<T, UnknownName> {
+fn find_index<T: Copy>(index: &BTreeMap<String, T>, kind: NameKind, name: &str) -> Result<T, UnknownName> {
     index.get(name).copied().ok_or_else(|| UnknownName { kind, name: name.to_string() })
 }
--- a/simulator-adapter/src/serve.rs
+++ b/simulator-adapter/src/serve.rs
@@ -1,4 +1,4 @@
-//! Reads batches, one a line, and writes the reply to each.
+//! The loop over the lines of input: reads one batch per line and writes one reply per line.
 
 use std::io::{self, BufRead, Write};
 
@@ -6,10 +6,10 @@
 use crate::host::Host;
 use crate::wire::event::InboundBatch;
 
-/// Answers each line of `input` with one line of `output`, flushed before the next line is read.
+/// Answers each line of `input` with one line of `output`, which is flushed before the next line is read.
 ///
 /// # Errors
-/// The first line that cannot be read, understood or answered. Nothing is written in reply to it.
+/// Fails at the first line that cannot be read, parsed or answered. Nothing is written in reply to that line.
 pub fn serve(input: impl BufRead, mut output: impl Write) -> Result<(), AdapterError> {
     let mut host = Host::default();
     for (index, line) in input.lines().enumerate() {
--- a/simulator-adapter/src/wire/action.rs
+++ b/simulator-adapter/src/wire/action.rs
@@ -1,4 +1,5 @@
-//! Messages from the instances to the simulator. Times are milliseconds. The order of fields is that of the keys.
+//! Messages from the instances to the simulator. Times are milliseconds. Keys are written in the order of the
+//! fields.
 
 use std::sync::Arc;
 
@@ -11,7 +12,7 @@
     /// Number of the batch that this answers.
     #[serde(rename = "turn")]
     pub sequence: u64,
-    /// The messages of all instances, in the order of those that caused them.
+    /// The messages of all instances, in the order of the messages that caused them.
     #[serde(rename = "steps")]
     pub messages: Vec<OutboundMessage>,
 }
@@ -50,7 +51,7 @@
         #[serde(rename = "BackoffMs")]
         retry_after_ms: Millis,
     },
-    /// Final response: an error that promises nothing.
+    /// Final response: an error. The request may have been executed.
     #[serde(rename = "LOSE")]
     Fail {
         limiter_id: Arc<str>,
@@ -62,7 +63,7 @@
     SetTimer {
         limiter_id: Arc<str>,
         after_ms: Millis,
-        /// The encoded token, returned when it fires.
+        /// The encoded token, which the simulator returns when the timer fires.
         #[serde(rename = "KeyBack")]
         token: u64,
     },
@@ -83,7 +84,7 @@
         #[serde(rename = "On")]
         enabled: bool,
     },
-    /// Tell the operators something.
+    /// Log a line for the operators.
     #[serde(rename = "REMARK")]
     Log {
         limiter_id: Arc<str>,
--- a/simulator-adapter/src/wire/event.rs
+++ b/simulator-adapter/src/wire/event.rs
@@ -1,7 +1,7 @@
 //! Messages from the simulator to the instances. Times are milliseconds, costs quota units.
 //!
-//! Some fields that nothing uses are declared all the same, so that a value of the wrong type is an error. Fields that
-//! are not declared are ignored.
+//! Some fields are declared although nothing reads them, so that a value of the wrong type is an error.
+//! Undeclared fields are ignored.
 
 use limiter_core::{Millis, RequestId};
 use serde::Deserialize;
@@ -11,13 +11,13 @@
 /// One line of input.
 #[derive(Deserialize)]
 pub(crate) struct InboundBatch {
-    /// The time at which all its messages arrive.
+    /// The time at which all messages of the batch arrive.
     #[serde(rename = "MomentMs")]
     pub now_ms: Millis,
     /// Number of the batch, which the reply repeats.
     #[serde(rename = "turn")]
     pub sequence: u64,
-    /// Its messages, to be handled in this order.
+    /// The messages, in the order in which they are handled.
     #[serde(rename = "in")]
     pub messages: Vec<InboundMessage>,
 }
@@ -26,7 +26,7 @@
 #[derive(Deserialize)]
 #[serde(tag = "m", rename_all_fields = "PascalCase")]
 pub(crate) enum InboundMessage {
-    /// Start an instance, in place of one of the same name.
+    /// Start an instance. A running instance of the same name is replaced.
     #[serde(rename = "NEW_INSTANCE")]
     StartInstance {
         limiter_id: String,
@@ -72,7 +72,7 @@
     #[serde(rename = "TIMEOUT_FIRED")]
     TimerFired {
         limiter_id: String,
-        /// The encoded token with which it was set.
+        /// The encoded token of the timer.
         #[serde(rename = "KeyBack")]
         token: u64,
     },
@@ -112,29 +112,29 @@
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub(crate) struct RequestArrival {
-    /// The instance at which it arrived.
+    /// The instance that received the request.
     pub limiter_id: String,
-    /// Identifies it at this instance.
+    /// Identifies the request at this instance.
     #[serde(rename = "Ticket")]
     pub request_id: RequestId,
-    /// Name of its class.
+    /// Name of the request class.
     #[serde(rename = "Service")]
     pub class: String,
-    /// Name of its plan.
+    /// Name of the plan.
     pub plan: String,
-    /// The customer whose quota it counts against, in hex digits.
+    /// The customer whose quota the request counts against, in hex digits.
     #[serde(rename = "ClientId")]
     pub customer: String,
-    /// Time until the client gives up.
+    /// Time until the client times out.
     #[serde(rename = "BudgetMs")]
     pub timeout_ms: Millis,
-    /// Its cost, declared or estimated.
+    /// The cost in quota units, declared or estimated.
     #[serde(rename = "PriceUnits")]
     pub cost_units: f64,
     /// Number of limiters that receive this customer's requests: the members of its quota.
     #[serde(rename = "EntryPoints")]
     pub member_count: u32,
-    /// Position of the first member; the others follow it in a ring.
+    /// Position of the first member; the others follow in a ring.
     #[serde(rename = "SetFrom")]
     pub first_member: u32,
 }
@@ -143,66 +143,66 @@
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub(crate) struct AttemptEnd {
-    /// The instance that made it.
+    /// The instance that made the attempt.
     pub limiter_id: String,
-    /// The request that it was for.
+    /// The request.
     #[serde(rename = "Ticket")]
     pub request_id: RequestId,
-    /// Which of the request's attempts, from 0.
+    /// Number of the attempt of this request, starting at 0.
     #[serde(rename = "Trial")]
     pub attempt: u32,
-    /// How it ended.
+    /// How the attempt ended.
     pub outcome: OutcomeCode,
-    /// How long it took.
+    /// How long the attempt took.
     #[serde(rename = "DurationMs")]
     pub elapsed_ms: Millis,
-    /// The request has its final response, or needs none any more.
+    /// Whether the request has its final response or needs none any more.
     #[serde(rename = "NoMore", default)]
     pub request_finished: bool,
-    /// What the request really cost.
+    /// The actual cost of the request in quota units.
     #[serde(rename = "Actual")]
     pub actual_units: Option<f64>,
-    /// The server's load; the decisions do not use it.
+    /// The load of the server, which the decisions do not use.
     #[serde(rename = "Telemetry")]
     #[expect(dead_code, reason = "parsed to find malformed values")]
     pub load_report: Option<LoadReport>,
 }
 
-/// What a server reports of its load.
+/// A load report of a server.
 #[derive(Deserialize)]
 #[expect(dead_code, reason = "parsed to find malformed values")]
 pub(crate) struct LoadReport {
-    /// Its latency in milliseconds.
+    /// The latency in milliseconds.
     #[serde(rename = "svc_ms")]
     pub latency_ms: Option<Millis>,
-    /// Its requests in flight.
+    /// The number of requests in flight.
     #[serde(rename = "busy_reqs")]
     pub in_flight: Option<f64>,
 }
 
-/// A server as discovery announces it.
+/// A server in an announcement of discovery.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub(crate) struct EndpointEntry {
     /// Identifies the server.
     pub server: String,
-    /// Name of its zone.
+    /// Name of the zone.
     #[serde(rename = "Site")]
     pub zone: String,
-    /// Its cell; 0 where there are none.
+    /// The cell; 0 if there are no cells.
     #[serde(rename = "Stripe")]
     pub cell: Option<u32>,
-    /// Whether it takes requests.
+    /// Whether the server takes requests.
     #[serde(rename = "Condition")]
     pub state: EndpointCondition,
-    /// Its capacity relative to the others; 0 where it is left out.
+    /// The capacity relative to the other servers; 0 if it is left out.
     pub weight: Option<f64>,
-    /// When it last started; 0 for long ago.
+    /// When the server last started; 0 if it has been running for long.
     #[serde(rename = "StartTimeMs")]
     pub started_at_ms: Option<Millis>,
 }
 
-/// What discovery says of a server.
+/// The announced state of a server.
 #[derive(Deserialize, Clone, Copy)]
 pub(crate) enum EndpointCondition {
     #[serde(rename = "in_service")]
@@ -213,17 +213,17 @@
     Removed,
 }
 
-/// Which endpoints a page holds.
+/// Which endpoints a page contains.
 #[derive(Deserialize, PartialEq, Clone, Copy)]
 #[serde(rename_all = "snake_case")]
 pub(crate) enum EndpointScope {
-    /// Those that have changed.
+    /// The endpoints that have changed.
     Delta,
-    /// All.
+    /// All endpoints.
     Full,
-    /// All as they were last known.
+    /// All endpoints, as they were last known.
     Cached,
-    /// None: discovery has failed.
+    /// No endpoints: discovery has failed.
     Failed,
 }
 
--- a/simulator-adapter/src/wire/settings.rs
+++ b/simulator-adapter/src/wire/settings.rs
@@ -1,5 +1,5 @@
-//! The settings of an instance as the simulator and the configuration of the program `limiter` write them.
-//! Times are milliseconds, costs quota units.
+//! The settings of an instance, in the JSON form of the simulator and of the configuration file of the
+//! program `limiter`. Times are milliseconds, costs quota units.
 
 use limiter_core::Millis;
 use serde::Deserialize;
@@ -8,12 +8,12 @@
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct InstanceSettings {
-    /// Limiters in front of the back end.
+    /// Number of limiters in front of the servers.
     #[serde(rename = "Balancers")]
     pub(crate) limiters: u32,
-    /// This limiter's number among them, from 0.
+    /// Position of this limiter among them, starting at 0.
     pub(crate) position: u32,
-    /// Name of this limiter's zone.
+    /// Name of the zone of this limiter.
     pub(crate) zone: String,
     /// Names of all zones.
     #[serde(rename = "Dcs")]
@@ -21,31 +21,31 @@
     /// Shortest time between two deliveries of events.
     #[serde(rename = "RoundMs")]
     pub(crate) event_interval_ms: Millis,
-    /// How the endpoint list comes.
+    /// How the limiter receives the endpoint list.
     pub(crate) discovery: DiscoveryMode,
     /// The request classes.
     pub classes: Vec<ClassSettings>,
     /// The plans.
     #[serde(rename = "TiersOfService")]
     pub(crate) plans: Vec<PlanSettings>,
-    /// What a limiter can and may do on this site.
+    /// What the site supports and allows.
     #[serde(rename = "Bounds")]
     pub capabilities: SiteCapabilities,
-    /// How servers behave after a start.
+    /// How servers warm up after a start.
     #[serde(rename = "Obligations")]
     pub(crate) slow_start: SlowStartSettings,
-    /// What is particular to this service.
+    /// Parameters of this service.
     #[serde(rename = "Domain")]
     pub service: ServiceSettings,
 }
 
-/// How the endpoint list comes.
+/// How the limiter receives the endpoint list.
 #[derive(Deserialize, PartialEq, Clone, Copy)]
 pub(crate) enum DiscoveryMode {
-    /// It is pushed.
+    /// An agent pushes the list.
     #[serde(rename = "automatic")]
     Push,
-    /// It has to be subscribed to.
+    /// The limiter subscribes to the list.
     #[serde(rename = "subscribe")]
     Subscribe,
 }
@@ -54,7 +54,7 @@
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct ClassSettings {
-    /// Its name.
+    /// The name.
     pub(crate) name: String,
     /// A response within this time, in milliseconds, has its full value.
     #[serde(rename = "AimMs")]
@@ -102,7 +102,7 @@
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "PascalCase", default)]
 pub(crate) struct PlanSettings {
-    /// Its name.
+    /// The name.
     pub name: String,
     /// Units a second.
     pub rate: f64,
@@ -122,17 +122,17 @@
     pub ceiling_slack: f64,
 }
 
-/// What a limiter can and may do on a site. An ability that is left out is missing.
+/// What a site supports and allows. A capability that is left out is not available.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct SiteCapabilities {
     /// Most attempts for one request, the first included.
     #[serde(rename = "MostTries")]
     pub(crate) max_attempts: u32,
-    /// A connection that is not established by then has failed.
+    /// Timeout of a connect to a server.
     #[serde(rename = "DialTimeoutMs")]
     pub(crate) connect_timeout_ms: Millis,
-    /// Servers may be probed; limiters never do.
+    /// Health checks may be sent to servers; limiters send none.
     #[serde(rename = "Probes", default)]
     #[expect(dead_code, reason = "parsed to find malformed values")]
     pub(crate) can_probe: bool,
@@ -142,36 +142,36 @@
     /// Attempts may be cancelled.
     #[serde(rename = "Cancelling", default)]
     pub(crate) can_cancel: bool,
-    /// Rejected clients may be sent a time to retry after.
+    /// Rejections may carry a `Retry-After`.
     #[serde(rename = "RetryAfter", default)]
     pub(crate) can_send_retry_after: bool,
-    /// A server closes a connection that has been idle for so many milliseconds; absent on sites without
+    /// A server closes a connection after this idle time in milliseconds; absent on sites without
     /// connections.
     #[serde(rename = "IdleCloseMs")]
     pub server_idle_timeout_ms: Option<Millis>,
 }
 
-/// How servers behave after a start.
+/// How servers warm up after a start.
 #[derive(Deserialize)]
 pub(crate) struct SlowStartSettings {
-    /// A server that has just started has this fraction of its capacity or more.
+    /// Minimum fraction of its capacity that a server has when it starts.
     #[serde(rename = "StartCapacity")]
     pub cold_capacity_fraction: f64,
-    /// Time after its start by which a server has its full capacity.
+    /// Time after its start at which a server has its full capacity.
     #[serde(rename = "ColdMs")]
     pub slow_start_ms: Millis,
-    /// A server that is warming up fails under this multiple of its capacity, if it lasts.
+    /// A server in slow start fails under a sustained load of this multiple of its present capacity.
     #[serde(rename = "FallMultiple")]
     pub overload_factor: f64,
-    /// How long an overload has to last for a server that is warming up to fail.
+    /// How long an overload lasts before a server in slow start fails.
     #[serde(rename = "TipAfterMs")]
     pub overload_ms: Millis,
 }
 
-/// What is particular to the service.
+/// Parameters of the service.
 #[derive(Deserialize)]
 pub struct ServiceSettings {
-    /// Gossip messages a second that one limiter accepts.
+    /// Gossip messages per second that one limiter accepts.
     #[serde(rename = "MailPerS")]
     pub(crate) gossip_messages_per_s: f64,
     /// Most units that one request may cost, where the settings say so.
