--- a/limiter/src/engine/attempts.rs
+++ b/limiter/src/engine/attempts.rs
@@ -8,12 +8,13 @@
 use super::{Engine, State};
 use crate::messages::attempt::{AttemptId, AttemptJob, AttemptResult};
 use crate::messages::request::FinalResponse;
+use crate::observability::labels::{AttemptOutcome, Invariant};
 use crate::observability::metrics::Metrics;
 
 impl Engine {
     /// An attempt has ended; its connection is closed or back in the pool by now. A response in time goes to the
     /// client; one for a request that has finished is dropped, yet the core takes its outcome in.
-    pub fn attempt_ended(self: &Rc<Self>, id: AttemptId, result: AttemptResult) {
+    pub fn record_attempt_end(self: &Rc<Self>, id: AttemptId, result: AttemptResult) {
         let mut state = self.state.borrow_mut();
         let Some(started_at) = state.pending.attempt_ended(id) else { return };
         let mut request_finished = !state.pending.contains(id.request);
@@ -38,8 +39,9 @@
 
     fn count_attempt(&self, id: AttemptId, outcome: Outcome) {
         let AttemptId { request, number: attempt } = id;
-        tracing::debug!(request, attempt, ?outcome, "attempt ended");
-        Metrics::count(&self.metrics.attempts, outcome_kind(outcome));
+        let outcome = AttemptOutcome::from(outcome);
+        tracing::debug!(request, attempt, %outcome, "attempt ended");
+        Metrics::count(&self.metrics.attempts, outcome);
     }
 
     pub(super) fn start_attempt(
@@ -53,7 +55,7 @@
         let now = self.now();
         if attempt.another_in_flight {
             let detail = format_args!("request {id}: a second attempt beside the first was not sent");
-            self.metrics.violation("one attempt at a time", &detail);
+            self.metrics.record_violation(Invariant::OneAttemptAtATime, &detail);
         }
         if attempt.another_in_flight || state.endpoints.serving_address(&server).is_none() {
             state.events.push_back(Event::AttemptEnded {
@@ -75,22 +77,8 @@
             request: attempt.content,
             deadline: attempt.deadlines.deadline,
             server_deadline: attempt.deadlines.server_deadline,
-            begin_by: now + begin_within_ms,
+            latest_start: now + begin_within_ms,
         };
         self.upstream.start_attempt(self, job, cancelled);
     }
 }
-
-/// The kind under which the end of an attempt is counted.
-fn outcome_kind(outcome: Outcome) -> &'static str {
-    match outcome {
-        Outcome::Ok => "served",
-        Outcome::Error => "error",
-        Outcome::Rejected => "rejected",
-        Outcome::TimedOut => "timed out",
-        Outcome::ConnectFailed => "connect failed",
-        Outcome::ConnectionLost => "connection lost",
-        Outcome::Cancelled => "cancelled",
-        Outcome::NotSent => "not sent",
-    }
-}
--- a/soak/src/limiter_process/mod.rs
+++ b/soak/src/limiter_process/mod.rs
@@ -45,7 +45,7 @@
 /// SIGKILL follows this long after the grace period.
 const KILL_DELAY: Duration = Duration::from_millis(700);
 /// Log lines with one of these texts are faults of the process.
-const FAULT_LOG_TEXTS: [&str; 2] = ["panicked", "rule violated"];
+const FAULT_LOG_TEXTS: [&str; 2] = ["panicked", "invariant violated"];
 
 /// How limiter processes are launched.
 pub struct LaunchOptions {
