--- a/limiter/src/observability/labels.rs
+++ b/limiter/src/observability/labels.rs
@@ -1,4 +1,5 @@
-//! The values under which events are counted and logged: one type for each counter with a label.
+//! The values of counter labels and of the log fields `outcome`, `reason`, `state` and `invariant`. There is
+//! one type for each counter with a label.
 
 use std::fmt;
 
@@ -6,8 +7,8 @@
 use limiter_core::{EjectionReason, EndpointState, Outcome};
 use prometheus_client::encoding::{EncodeLabel, EncodeLabelSet, LabelSetEncoder};
 
-/// Declares an enum whose variants are the values of a counter's only label, with the key of that label and a name in
-/// snake case for each value. Log fields have the same names.
+/// Declares an enum whose variants are the values of a counter's only label, with the key of that label and a
+/// name in snake case for each value. Log fields have the same names.
 ///
 /// The names are written out, so that renaming a variant does not change what operators search for.
 macro_rules! label {
@@ -51,11 +52,12 @@
     pub enum ResponseOutcome {
         /// A server's good response was returned to the client.
         Served => "served",
-        /// The client was told that the request did not run and may be sent again.
+        /// The client was sent a rejection: it may safely send the request again.
         Rejected => "rejected",
         /// The client was sent an error: the request may have run.
         Failed => "failed",
-        /// The engine sent the client an error at the deadline, because the decisions had not ended the request before.
+        /// The engine sent the client an error at the deadline, because the decisions had not ended the
+        /// request before.
         FailedAtDeadline => "failed_at_deadline",
         /// The client disconnected before the final response.
         ClientDisconnected => "client_disconnected",
--- a/limiter/src/observability/logging.rs
+++ b/limiter/src/observability/logging.rs
@@ -1,10 +1,11 @@
-//! Structured log events on standard error: the limiter's name, the time, the level, a message and its fields.
+//! Structured log events on standard error. Each line has the limiter's name, the time, the level, a message
+//! and fields.
 //!
-//! A separate thread writes the lines from a bounded queue. If nobody reads standard error, the newest lines are lost and
-//! the limiter continues to serve.
+//! A separate thread writes the lines from a bounded queue. If nobody reads standard error, the newest lines
+//! are lost and the limiter continues to serve.
 //!
-//! The message of an event is fixed, so that operators can search for it and count it. Every value is a field, and a
-//! field has the same name and meaning in every event:
+//! The message of an event is fixed, so that operators can search for it and count it. Every value is a
+//! field, and a field has the same name and meaning in every event:
 //!
 //! | field | meaning |
 //! | --- | --- |
@@ -38,14 +39,15 @@
 use tracing_subscriber::fmt::FmtContext;
 use tracing_subscriber::registry::LookupSpan;
 
-/// Names the lowest level that is written: `error`, `warn`, `info`, `debug` or `trace`.
+/// Environment variable with the lowest level that is logged: `error`, `warn`, `info`, `debug` or `trace`.
 const LEVEL_VARIABLE: &str = "LIMITER_LOG";
-/// What is written where the variable is absent or names no level.
+/// Lowest level that is logged if the variable is absent or names no level.
 const DEFAULT_LEVEL: LevelFilter = LevelFilter::INFO;
-/// Lines that wait to be written at most, some 400 KB.
+/// Highest number of lines that wait to be written, about 400 KB. Bounds the memory that a reader who stops
+/// reading standard error can cost the limiter.
 const MAX_QUEUED_LINES: usize = 2048;
 
-/// Writes log lines of the limiter of this name from now on, and what is left of them when the guard is dropped.
+/// Starts to log under the limiter's name. Dropping the guard writes the lines that wait.
 pub fn start(name: String) -> WorkerGuard {
     let level = std::env::var(LEVEL_VARIABLE).ok().and_then(|level| level.parse().ok());
     let builder = NonBlockingBuilder::default().lossy(true).buffered_lines_limit(MAX_QUEUED_LINES);
@@ -55,12 +57,12 @@
         .with_writer(writer)
         .with_ansi(false)
         .event_format(NamedLine { name });
-    // It fails only where there is a subscriber already; this is the one place that sets one.
+    // The call fails only if a subscriber was set before, and no other place sets one.
     let _ = tracing::subscriber::set_global_default(subscriber.finish());
     guard
 }
 
-/// Lines that begin with the limiter's name.
+/// Formats an event as one line that begins with the limiter's name.
 struct NamedLine {
     name: String,
 }
--- a/limiter/src/observability/metrics.rs
+++ b/limiter/src/observability/metrics.rs
@@ -13,12 +13,12 @@
     ServerConnectionOutcome, WatchEndReason,
 };
 
-/// The first part of each counter's name.
+/// First part of each counter's name.
 const NAME_PREFIX: &str = "limiter";
 
 /// The limiter's counters. The encoder adds `_total` to each name.
 pub struct Metrics {
-    registry: Registry,
+    registry: CounterRegistry,
     /// Requests that were submitted to the decisions.
     pub requests: Counter,
     /// Ends of submitted requests.
@@ -46,50 +46,28 @@
 }
 
 impl Metrics {
-    /// Returns counters that all stand at 0.
+    /// Creates and registers all counters. Each starts at 0.
     pub fn new() -> Metrics {
-        let mut registry = Registry::with_prefix(NAME_PREFIX);
-        let requests = register(&mut registry, "requests", "Requests submitted");
-        let responses = register(&mut registry, "responses", "Ends of submitted requests");
-        let invalid_requests =
-            register(&mut registry, "invalid_requests", "Requests rejected before they were submitted");
-        let attempts = register(&mut registry, "attempts", "Attempts that have ended");
-        let server_connections =
-            register(&mut registry, "server_connections", "Connections to servers that attempts asked for");
-        let client_connections_accepted =
-            register(&mut registry, "client_connections_accepted", "Client connections accepted");
-        let client_connections_closed =
-            register(&mut registry, "client_connections_closed", "Client connections closed");
-        let endpoint_watches_ended =
-            register(&mut registry, "endpoint_watches_ended", "Watches on the endpoint list that have ended");
-        let gossip_messages_sent = register(&mut registry, "gossip_messages_sent", "Gossip messages sent");
-        let gossip_messages_received =
-            register(&mut registry, "gossip_messages_received", "Gossip messages received from known peers");
-        let process_stalls = register(&mut registry, "process_stalls", "Stalls of the process");
-        let invariant_violations =
-            register(&mut registry, "invariant_violations", "Violations of invariants");
+        let mut registry = CounterRegistry::new();
         Metrics {
+            requests: registry.add("requests", "Requests submitted"),
+            responses: registry.add("responses", "Ends of submitted requests"),
+            invalid_requests: registry.add("invalid_requests", "Requests rejected before submission"),
+            attempts: registry.add("attempts", "Attempts ended"),
+            server_connections: registry.add("server_connections", "Connections asked for by attempts"),
+            client_connections_accepted: registry.add("client_connections_accepted", "Accepted connections"),
+            client_connections_closed: registry.add("client_connections_closed", "Closed connections"),
+            endpoint_watches_ended: registry.add("endpoint_watches_ended", "Endpoint watches ended"),
+            gossip_messages_sent: registry.add("gossip_messages_sent", "Gossip messages sent"),
+            gossip_messages_received: registry.add("gossip_messages_received", "Messages of known peers"),
+            process_stalls: registry.add("process_stalls", "Stalls of the process"),
+            invariant_violations: registry.add("invariant_violations", "Violations of invariants"),
             registry,
-            requests,
-            responses,
-            invalid_requests,
-            attempts,
-            server_connections,
-            client_connections_accepted,
-            client_connections_closed,
-            endpoint_watches_ended,
-            gossip_messages_sent,
-            gossip_messages_received,
-            process_stalls,
-            invariant_violations,
         }
     }
 
     /// Counts one more event under a label.
-    pub fn count<L>(family: &Family<L, Counter>, label: L)
-    where
-        L: Clone + Eq + Hash,
-    {
+    pub fn count<L: Copy + Eq + Hash>(family: &Family<L, Counter>, label: L) {
         family.get_or_create(&label).inc();
     }
 
@@ -99,8 +77,8 @@
         tracing::error!(%invariant, %detail, "invariant violated");
     }
 
-    /// Writes one log event for each counter and label that has counted something, with the name and the label in the
-    /// notation of Prometheus.
+    /// Writes one log event for each counter and label that has counted something, with the name and the
+    /// label in the notation of Prometheus.
     pub fn log_all(&self) {
         for line in self.text().lines().filter(|line| !line.starts_with('#')) {
             if let Some((name, value)) = line.rsplit_once(' ') {
@@ -113,17 +91,25 @@
     pub(super) fn text(&self) -> String {
         let mut text = String::new();
         // Writing to a string does not fail.
-        let _ = encode(&mut text, &self.registry);
+        let _ = encode(&mut text, &self.registry.registry);
         text
     }
 }
 
-/// Adds a counter to the registry, and returns it.
-fn register<M>(registry: &mut Registry, name: &str, help: &str) -> M
-where
-    M: Metric + Default + Clone,
-{
-    let counter = M::default();
-    registry.register(name, help, counter.clone());
-    counter
+/// The registry from which all counters are encoded.
+struct CounterRegistry {
+    registry: Registry,
+}
+
+impl CounterRegistry {
+    fn new() -> CounterRegistry {
+        CounterRegistry { registry: Registry::with_prefix(NAME_PREFIX) }
+    }
+
+    /// Registers a counter, or a family of counters, and returns it.
+    fn add<M: Metric + Default + Clone>(&mut self, name: &str, help: &str) -> M {
+        let counter = M::default();
+        self.registry.register(name, help, counter.clone());
+        counter
+    }
 }
--- a/limiter/src/observability/tests.rs
+++ b/limiter/src/observability/tests.rs
@@ -5,8 +5,12 @@
 
 use std::collections::BTreeSet;
 use std::fmt::Debug;
+use std::hash::Hash;
 use std::path::PathBuf;
 
+use prometheus_client::metrics::counter::Counter;
+use prometheus_client::metrics::family::Family;
+
 use super::labels::{
     AttemptOutcome, ClientCloseReason, InvalidRequestReason, Invariant, ResponseOutcome,
     ServerConnectionOutcome, WatchEndReason,
@@ -23,18 +27,22 @@
 /// Counts one event under each label value of each counter, and returns all counters in the text format.
 fn all_counters() -> String {
     let metrics = Metrics::new();
-    ResponseOutcome::ALL.iter().for_each(|label| Metrics::count(&metrics.responses, *label));
-    InvalidRequestReason::ALL.iter().for_each(|label| Metrics::count(&metrics.invalid_requests, *label));
-    AttemptOutcome::ALL.iter().for_each(|label| Metrics::count(&metrics.attempts, *label));
-    ServerConnectionOutcome::ALL.iter().for_each(|label| Metrics::count(&metrics.server_connections, *label));
-    ClientCloseReason::ALL
-        .iter()
-        .for_each(|label| Metrics::count(&metrics.client_connections_closed, *label));
-    WatchEndReason::ALL.iter().for_each(|label| Metrics::count(&metrics.endpoint_watches_ended, *label));
-    Invariant::ALL.iter().for_each(|label| Metrics::count(&metrics.invariant_violations, *label));
+    count_each(&metrics.responses, ResponseOutcome::ALL);
+    count_each(&metrics.invalid_requests, InvalidRequestReason::ALL);
+    count_each(&metrics.attempts, AttemptOutcome::ALL);
+    count_each(&metrics.server_connections, ServerConnectionOutcome::ALL);
+    count_each(&metrics.client_connections_closed, ClientCloseReason::ALL);
+    count_each(&metrics.endpoint_watches_ended, WatchEndReason::ALL);
+    count_each(&metrics.invariant_violations, Invariant::ALL);
     metrics.text()
 }
 
+fn count_each<L: Copy + Eq + Hash>(family: &Family<L, Counter>, labels: &[L]) {
+    for label in labels {
+        Metrics::count(family, *label);
+    }
+}
+
 /// Returns the names of all counters with their labels, as the log has them.
 fn counter_names() -> BTreeSet<String> {
     let text = all_counters();
--- a/limiter/src/observability/tests/source_events.rs
+++ b/limiter/src/observability/tests/source_events.rs
@@ -60,7 +60,8 @@
     assert!(!source.contains("event!("), "events are logged by the macro of their level");
 }
 
-/// Splits the arguments of a macro call, from behind its opening bracket, at the commas outside of brackets and texts.
+/// Splits the arguments of a macro call, from behind its opening bracket, at the commas outside of brackets
+/// and texts.
 fn split_arguments(text: &str) -> Vec<String> {
     let mut arguments = vec![String::new()];
     let mut depth = 0;
@@ -85,7 +86,8 @@
     trimmed.filter(|argument| !argument.is_empty()).collect()
 }
 
-/// The message is the last argument, and a plain text; all others are fields, in any of the forms of `tracing`.
+/// The message is the last argument, and a plain text; all others are fields, in any of the forms of
+/// `tracing`.
 fn parse_event(level: &str, arguments: &[String]) -> LoggedEvent {
     let (message, fields) = arguments.split_last().expect("a message");
     let message = message.strip_prefix('"').and_then(|text| text.strip_suffix('"'));
--- a/limiter/src/runtime/duration.rs
+++ b/limiter/src/runtime/duration.rs
@@ -1,18 +1,21 @@
-//! Durations and the milliseconds of settings and decisions.
+//! Conversion between durations and the milliseconds of settings and decisions.
 
 use std::time::Duration;
 
 use limiter_core::Millis;
 
-/// Longest duration, some thirty years: what is longer is as good as endless, and no clock of the program overflows.
+/// Longest duration in seconds, about thirty years. Longer ones are cut to it, so that no clock of the
+/// program overflows.
 const MAX_S: f64 = 1e9;
+const MILLIS_PER_SECOND: f64 = 1000.0;
 
-/// The duration of so many milliseconds, which must be a number; 0 for what is negative.
+/// Returns the duration of `ms` milliseconds, which must be a number. A negative number gives no duration at
+/// all.
 pub fn from_ms(ms: Millis) -> Duration {
-    Duration::from_secs_f64((ms / 1000.0).clamp(0.0, MAX_S))
+    Duration::from_secs_f64((ms / MILLIS_PER_SECOND).clamp(0.0, MAX_S))
 }
 
-/// The milliseconds of a duration.
+/// Returns the milliseconds of a duration.
 pub fn to_ms(duration: Duration) -> Millis {
-    duration.as_secs_f64() * 1000.0
+    duration.as_secs_f64() * MILLIS_PER_SECOND
 }
--- a/limiter/src/runtime/mod.rs
+++ b/limiter/src/runtime/mod.rs
@@ -1,4 +1,5 @@
-//! The process and its single thread: the event loop, stalls of the process, signals, and conversion of durations.
+//! The process and its single thread: the event loop, stalls of the process, signals, and conversion of
+//! durations.
 
 pub mod arrival;
 pub mod duration;
--- a/limiter/src/runtime/signals.rs
+++ b/limiter/src/runtime/signals.rs
@@ -15,76 +15,78 @@
 
 use crate::net::through_shortage;
 
-/// A signal is noticed within this time, also where the write that should wake the program up fails: the handler cannot
-/// repeat it.
+/// Longest time until a signal is noticed whose wake-up was lost: the handler cannot repeat a write that
+/// fails.
 const RECHECK_INTERVAL: Duration = Duration::from_millis(250);
-/// Bytes of wake-ups taken at once.
+/// Number of wake-up bytes that are read at once. Each signal writes one.
 const WAKE_UP_BYTES: usize = 64;
 
-/// A signal: the handler sets the flag, and the program takes it.
-struct Pending {
+/// A signal whose handler sets a flag, which the program takes.
+struct SignalFlag {
     name: &'static str,
     is_set: Arc<AtomicBool>,
 }
 
-impl Pending {
-    /// Handles a signal from now on by a flag and a byte on `wake_up`.
-    fn register(name: &'static str, signal: i32, wake_up: &StdUnixStream) -> Result<Pending, SignalError> {
+impl SignalFlag {
+    /// Installs handlers that set the flag and write a byte to `wake_up`.
+    fn register(name: &'static str, signal: i32, wake_up: &StdUnixStream) -> Result<SignalFlag, SignalError> {
         let failed = |error| SignalError { name, error };
         let is_set = Arc::new(AtomicBool::new(false));
-        // The handlers run in the order in which they were registered: the flag is set before the program wakes up.
+        // Handlers run in the order in which they were registered, so that the flag is set before the program
+        // wakes up.
         flag::register(signal, is_set.clone()).map_err(failed)?;
         pipe::register(signal, wake_up.try_clone().map_err(failed)?).map_err(failed)?;
-        Ok(Pending { name, is_set })
+        Ok(SignalFlag { name, is_set })
     }
 
-    /// Whether the signal has come since the last call.
+    /// Clears the flag, and returns whether the signal has arrived since the last call.
     fn take(&self) -> bool {
         self.is_set.swap(false, Ordering::SeqCst)
     }
 }
 
-/// A signal cannot be handled.
+/// The handler of a signal could not be installed.
 #[derive(Debug, thiserror::Error)]
 #[error("{name}: {error}")]
 pub struct SignalError {
-    /// Its name.
+    /// Name of the signal.
     name: &'static str,
-    /// Why.
+    /// The error of the system.
     error: io::Error,
 }
 
 /// The signals that the program handles.
 ///
-/// tokio's own are not used: their driver panics where the read that clears its wake-ups is interrupted, and hears of no
-/// signal whose wake-up was.
+/// The program does not use tokio's signal driver, which panics if the read that clears its wake-ups is
+/// interrupted, and misses a signal whose wake-up was lost.
 pub struct Signals {
     wake_ups: UnixStream,
-    hangup: Pending,
-    terminate: Pending,
-    interrupt: Pending,
-    user: Pending,
+    hangup: SignalFlag,
+    terminate: SignalFlag,
+    interrupt: SignalFlag,
+    user: SignalFlag,
     reload: Notify,
     report: Notify,
     stop: Notify,
+    /// Name of the signal that requested the stop; empty before.
     stopped_by: Cell<&'static str>,
 }
 
 impl Signals {
-    /// Handles the signals from now on; needs the runtime.
+    /// Installs the handlers. Must be called within the runtime.
     ///
     /// # Errors
-    /// The system does not allow it.
+    /// [`SignalError`] if the system does not allow it.
     pub fn install() -> Result<Signals, SignalError> {
         let failed = |error| SignalError { name: "signals", error };
         let (receiver, sender) = through_shortage(StdUnixStream::pair).map_err(failed)?;
         receiver.set_nonblocking(true).map_err(failed)?;
         Ok(Signals {
             wake_ups: UnixStream::from_std(receiver).map_err(failed)?,
-            hangup: Pending::register("SIGHUP", SIGHUP, &sender)?,
-            terminate: Pending::register("SIGTERM", SIGTERM, &sender)?,
-            interrupt: Pending::register("SIGINT", SIGINT, &sender)?,
-            user: Pending::register("SIGUSR1", SIGUSR1, &sender)?,
+            hangup: SignalFlag::register("SIGHUP", SIGHUP, &sender)?,
+            terminate: SignalFlag::register("SIGTERM", SIGTERM, &sender)?,
+            interrupt: SignalFlag::register("SIGINT", SIGINT, &sender)?,
+            user: SignalFlag::register("SIGUSR1", SIGUSR1, &sender)?,
             reload: Notify::new(),
             report: Notify::new(),
             stop: Notify::new(),
@@ -92,42 +94,47 @@
         })
     }
 
-    /// Passes signals on as they come, forever.
+    /// Notifies the tasks that wait for a signal when the signal arrives. Never returns.
     pub async fn run(&self) {
         loop {
-            if self.hangup.take() {
-                self.reload.notify_one();
-            }
-            if self.user.take() {
-                self.report.notify_one();
-            }
-            for signal in [&self.terminate, &self.interrupt] {
-                if signal.take() {
-                    self.stopped_by.set(signal.name);
-                    self.stop.notify_one();
-                }
-            }
-            // The flags say what has come, whatever becomes of the wake-ups.
+            self.notify_waiting_tasks();
+            // The flags show which signals have arrived, whether or not the wake-up could be read.
             let _ = timeout(RECHECK_INTERVAL, self.wait_for_wake_up()).await;
         }
     }
 
+    fn notify_waiting_tasks(&self) {
+        if self.hangup.take() {
+            self.reload.notify_one();
+        }
+        if self.user.take() {
+            self.report.notify_one();
+        }
+        for signal in [&self.terminate, &self.interrupt] {
+            if signal.take() {
+                self.stopped_by.set(signal.name);
+                self.stop.notify_one();
+            }
+        }
+    }
+
     async fn wait_for_wake_up(&self) -> io::Result<()> {
         self.wake_ups.readable().await?;
         self.wake_ups.try_read(&mut [0; WAKE_UP_BYTES]).map(|_| ())
     }
 
-    /// Waits for SIGHUP; several that came meanwhile count as one. Cancelling loses none.
+    /// Waits for SIGHUP. Several signals that arrived since the last wait count as one. Cancelling loses no
+    /// signal.
     pub async fn reload_requested(&self) {
         self.reload.notified().await;
     }
 
-    /// Waits for SIGUSR1, which asks for the counters. Cancelling loses none.
+    /// Waits for SIGUSR1, which requests that the counters are logged. Cancelling loses no signal.
     pub async fn report_requested(&self) {
         self.report.notified().await;
     }
 
-    /// Waits for the signal to stop; its name.
+    /// Waits for SIGTERM or SIGINT, and returns the name of the signal.
     pub async fn stop_requested(&self) -> &'static str {
         self.stop.notified().await;
         self.stopped_by.get()
