--- a/limiter/src/engine/attempts.rs
+++ b/limiter/src/engine/attempts.rs
@@ -1,9 +1,10 @@
-//! How the engine starts attempts, and what it makes of their ends.
+//! Starts attempts at servers, and records their ends.
 
 use std::rc::Rc;
 
 use limiter_core::{Event, Millis, Outcome, RequestId, ServerId};
 
+use super::pending::NewAttempt;
 use super::timer_queue::TimerKind;
 use super::{Engine, State};
 use crate::messages::attempt::{AttemptId, AttemptJob, AttemptResult};
@@ -12,11 +13,13 @@
 use crate::observability::metrics::Metrics;
 
 impl Engine {
-    /// An attempt has ended; its connection is closed or back in the pool by now. A response in time goes to the
-    /// client; one for a request that has finished is dropped, yet the core takes its outcome in.
+    /// Records the end of an attempt, whose connection is closed or back in the pool.
+    ///
+    /// A good response is returned to the client if the request is still pending, and dropped otherwise. The
+    /// core is notified of the outcome in either case.
     pub fn record_attempt_end(self: &Rc<Self>, id: AttemptId, result: AttemptResult) {
         let mut state = self.state.borrow_mut();
-        let Some(started_at) = state.pending.attempt_ended(id) else { return };
+        let Some(started_at) = state.pending.record_attempt_end(id) else { return };
         let mut request_finished = !state.pending.contains(id.request);
         if result.outcome == Outcome::Ok {
             if !request_finished {
@@ -38,47 +41,53 @@
     }
 
     fn count_attempt(&self, id: AttemptId, outcome: Outcome) {
-        let AttemptId { request, number: attempt } = id;
         let outcome = AttemptOutcome::from(outcome);
-        tracing::debug!(request, attempt, %outcome, "attempt ended");
+        tracing::debug!(request = id.request, attempt = id.number, %outcome, "attempt ended");
         Metrics::count(&self.metrics.attempts, outcome);
     }
 
+    /// Starts the next attempt of a request, or reports to the core that the attempt was not sent.
     pub(super) fn start_attempt(
         self: &Rc<Self>,
         state: &mut State,
-        id: RequestId,
+        request: RequestId,
         server: ServerId,
         begin_within_ms: Millis,
     ) {
-        let Some(attempt) = state.pending.next_attempt(id) else { return };
+        let Some(attempt) = state.pending.next_attempt(request) else { return };
         let now = self.now();
         if attempt.another_in_flight {
-            let detail = format_args!("request {id}: a second attempt beside the first was not sent");
+            let detail = format_args!("request {request}: a second attempt beside the first was not sent");
             self.metrics.record_violation(Invariant::OneAttemptAtATime, &detail);
         }
         if attempt.another_in_flight || state.endpoints.serving_address(&server).is_none() {
-            state.events.push_back(Event::AttemptEnded {
-                id,
-                attempt: attempt.id.number,
-                outcome: Outcome::NotSent,
-                elapsed_ms: 0.0,
-                request_finished: false,
-                actual_units: None,
-            });
+            state.events.push_back(not_sent(attempt.id));
             return;
         }
-        tracing::debug!(request = id, attempt = attempt.id.number, %server, "attempt started");
-        let cancelled = state.pending.attempt_started(attempt.id, now);
-        self.set_timer(state, attempt.deadlines.deadline, TimerKind::AttemptTimeout(attempt.id));
+        let NewAttempt { id, content, deadlines, .. } = attempt;
+        tracing::debug!(request, attempt = id.number, %server, "attempt started");
+        let cancelled = state.pending.record_attempt_start(id, now);
+        self.set_timer(state, deadlines.deadline, TimerKind::AttemptTimeout(id));
         let job = AttemptJob {
-            id: attempt.id,
+            id,
             server,
-            request: attempt.content,
-            deadline: attempt.deadlines.deadline,
-            server_deadline: attempt.deadlines.server_deadline,
+            request: content,
+            deadline: deadlines.deadline,
+            server_deadline: deadlines.server_deadline,
             latest_start: now + begin_within_ms,
         };
         self.upstream.start_attempt(self, job, cancelled);
     }
 }
+
+/// Returns the event that reports the end of an attempt that was not sent to its server.
+fn not_sent(id: AttemptId) -> Event {
+    Event::AttemptEnded {
+        id: id.request,
+        attempt: id.number,
+        outcome: Outcome::NotSent,
+        elapsed_ms: 0.0,
+        request_finished: false,
+        actual_units: None,
+    }
+}
--- a/limiter/src/engine/clock.rs
+++ b/limiter/src/engine/clock.rs
@@ -8,43 +8,45 @@
 
 use crate::runtime::duration;
 
-/// Bits of the moment at which a clock starts, in milliseconds: some 35 years, so that a 64-bit float holds it to well
-/// under a microsecond.
+/// Number of random bits of the origin of a clock, in milliseconds. 40 bits are about 35 years; a 64-bit
+/// float represents such a time to much less than a microsecond.
 const ORIGIN_BITS: u32 = 40;
 
-/// Time in milliseconds of the monotonic clock, from a random origin on.
+/// Time in milliseconds of the monotonic clock, counted from a random origin.
 ///
-/// The wall clock has no part in it, as that may be stepped. The low bits of the origin tell one start of the limiter
-/// from another in gossip: two starts share 32 random bits once in four billion times.
+/// The wall clock is not used, because it may be stepped. In gossip, the low bits of the origin distinguish
+/// one incarnation of the limiter from another: two incarnations share 32 random bits once in four billion
+/// times.
 pub struct Clock {
     started: Instant,
     origin_ms: Millis,
 }
 
 impl Clock {
-    /// A clock that starts now.
+    /// Starts a clock at a random origin.
     pub fn start() -> Clock {
-        // The keys of `RandomState` come from the system's random numbers.
+        // The keys of `RandomState` are random numbers of the system.
         let random = RandomState::new().build_hasher().finish();
         Clock { started: Instant::now(), origin_ms: (random >> (u64::BITS - ORIGIN_BITS)) as f64 }
     }
 
-    /// What the wall clock reads, in Unix milliseconds. It may be stepped at any moment.
+    /// Returns the time of the wall clock in Unix milliseconds. The wall clock may be stepped at any time.
     pub fn unix_ms() -> Millis {
-        SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs_f64() * 1000.0
+        let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        duration::to_ms(since_epoch)
     }
 
-    /// The present moment.
+    /// Returns the present time.
     pub fn now(&self) -> Millis {
         self.origin_ms + self.age_ms()
     }
 
-    /// Time since the clock was started.
+    /// Returns the time since the clock was started.
     pub fn age_ms(&self) -> Millis {
         duration::to_ms(self.started.elapsed())
     }
 
-    /// The instant of a moment, no earlier than the start.
+    /// Returns the instant that corresponds to a time of this clock, or the start for any earlier time.
     pub fn instant(&self, at: Millis) -> Instant {
         self.started + duration::from_ms(at - self.origin_ms)
     }
--- a/limiter/src/engine/endpoint_table.rs
+++ b/limiter/src/engine/endpoint_table.rs
@@ -1,61 +1,75 @@
-//! The servers that discovery has announced, and where they listen.
+//! The installed endpoint list: the servers that discovery has announced, and their addresses.
 
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
 
-use limiter_core::{EndpointState, Millis, ServerId};
+use limiter_core::{Endpoint, EndpointState, Millis, ServerId};
 
 use super::Upstream;
 use crate::endpoints::{EndpointUpdate, ResolvedEndpoint};
 use crate::observability::labels::state_name;
 
-/// Of a long list only so many changes are logged.
+/// Highest number of changed servers that are logged for one update, so that a long list does not fill the
+/// log queue.
 const MAX_LOGGED_CHANGES: usize = 64;
 
+/// What is known of a server that is on the list.
+#[derive(Clone, Copy)]
 struct KnownEndpoint {
     address: SocketAddr,
-    serving: bool,
+    is_serving: bool,
     started_at: Millis,
 }
 
+impl KnownEndpoint {
+    /// Returns whether pooled connections to this server must be closed when `new` is announced, or when the
+    /// server is removed: the server no longer serves, or another process listens. Connections to a process
+    /// that has been replaced must not be used, even if they look alive.
+    fn makes_connections_stale(&self, new: Option<&KnownEndpoint>) -> bool {
+        !new.is_some_and(|new| {
+            new.is_serving && new.address == self.address && new.started_at == self.started_at
+        })
+    }
+}
+
 /// The announced servers by id.
 #[derive(Default)]
 pub struct EndpointTable {
     endpoints: HashMap<ServerId, KnownEndpoint>,
-    /// A server that takes requests has been announced at some time.
+    /// Whether a serving server has ever been announced.
     ever_had_serving: bool,
 }
 
 impl EndpointTable {
-    /// Where a server listens, if it takes requests.
+    /// Returns the address of a server, if the server is serving.
     pub fn serving_address(&self, server: &ServerId) -> Option<SocketAddr> {
-        self.endpoints.get(server).filter(|known| known.serving).map(|known| known.address)
+        let known = self.endpoints.get(server).filter(|known| known.is_serving)?;
+        Some(known.address)
     }
 
-    /// Whether any server takes requests.
+    /// Returns whether any server is serving.
     pub fn any_serving(&self) -> bool {
-        self.endpoints.values().any(|known| known.serving)
+        self.endpoints.values().any(|known| known.is_serving)
     }
 
-    /// Whether a server that takes requests has ever been announced.
+    /// Returns whether a serving server has ever been announced.
     pub fn ever_had_serving(&self) -> bool {
         self.ever_had_serving
     }
 
-    /// Takes an update in, logs what has changed, and closes idle connections that are of no more use.
+    /// Installs an update, logs the servers that have changed, and closes idle connections that must not be
+    /// used any more.
     pub fn apply(&mut self, update: &EndpointUpdate, upstream: &dyn Upstream) {
         if update.complete {
             self.remove_unlisted(update, upstream);
         }
         let mut num_changed = 0;
         for listed in &update.endpoints {
-            let changed = self.apply_one(listed, upstream);
-            num_changed += usize::from(changed);
-            if changed && num_changed <= MAX_LOGGED_CHANGES {
-                let ResolvedEndpoint { endpoint, address } = listed;
-                let server = &endpoint.server;
-                let state = state_name(endpoint.state);
-                tracing::info!(%server, %address, %state, "endpoint changed");
+            if self.apply_endpoint(listed, upstream) {
+                num_changed += 1;
+                if num_changed <= MAX_LOGGED_CHANGES {
+                    log_change(listed);
+                }
             }
         }
         if num_changed > MAX_LOGGED_CHANGES {
@@ -67,40 +81,59 @@
         }
     }
 
+    /// Removes the servers that a complete list does not name.
     fn remove_unlisted(&mut self, update: &EndpointUpdate, upstream: &dyn Upstream) {
-        let listed: HashSet<&ServerId> = update.endpoints.iter().map(|e| &e.endpoint.server).collect();
+        let listed: HashSet<&ServerId> =
+            update.endpoints.iter().map(|resolved| &resolved.endpoint.server).collect();
         self.endpoints.retain(|server, _| {
-            let listed = listed.contains(server);
-            if !listed {
+            let is_listed = listed.contains(server);
+            if !is_listed {
                 upstream.close_idle(server);
             }
-            listed
+            is_listed
         });
     }
 
-    /// Takes one server in; whether it has changed.
-    fn apply_one(&mut self, listed: &ResolvedEndpoint, upstream: &dyn Upstream) -> bool {
-        let ResolvedEndpoint { endpoint, address } = listed;
-        let serving = endpoint.state == EndpointState::Serving;
-        let removed = endpoint.state == EndpointState::Removed;
-        self.ever_had_serving |= serving;
-        let before = if removed {
-            self.endpoints.remove(&endpoint.server)
-        } else {
-            let known = KnownEndpoint { address: *address, serving, started_at: endpoint.started_at };
-            self.endpoints.insert(endpoint.server.clone(), known)
-        };
-        let changed = match &before {
-            Some(before) => removed || before.serving != serving || before.address != *address,
-            None => !removed,
+    /// Installs one server, and returns whether its address or state has changed.
+    fn apply_endpoint(&mut self, listed: &ResolvedEndpoint, upstream: &dyn Upstream) -> bool {
+        let server = &listed.endpoint.server;
+        let new = known_endpoint(&listed.endpoint, listed.address);
+        self.ever_had_serving |= new.is_some_and(|new| new.is_serving);
+        let old = match new {
+            Some(new) => self.endpoints.insert(server.clone(), new),
+            None => self.endpoints.remove(server),
         };
-        // Connections to a process that has been restarted since are of no use, even where they look alive.
-        let is_stale = |before: KnownEndpoint| {
-            !serving || before.address != *address || before.started_at != endpoint.started_at
-        };
-        if before.is_some_and(is_stale) {
-            upstream.close_idle(&endpoint.server);
+        if old.is_some_and(|old| old.makes_connections_stale(new.as_ref())) {
+            upstream.close_idle(server);
         }
-        changed
+        has_changed(old, new)
     }
 }
+
+/// Returns what is known of an announced server, or `None` if the server is withdrawn.
+fn known_endpoint(endpoint: &Endpoint, address: SocketAddr) -> Option<KnownEndpoint> {
+    match endpoint.state {
+        EndpointState::Removed => None,
+        EndpointState::Serving | EndpointState::Draining => Some(KnownEndpoint {
+            address,
+            is_serving: endpoint.state == EndpointState::Serving,
+            started_at: endpoint.started_at,
+        }),
+    }
+}
+
+/// Returns whether a server appeared, was removed, or changed its address or state.
+fn has_changed(old: Option<KnownEndpoint>, new: Option<KnownEndpoint>) -> bool {
+    match (old, new) {
+        (Some(old), Some(new)) => old.is_serving != new.is_serving || old.address != new.address,
+        (None, None) => false,
+        _ => true,
+    }
+}
+
+fn log_change(listed: &ResolvedEndpoint) {
+    let server = &listed.endpoint.server;
+    let address = listed.address;
+    let state = state_name(listed.endpoint.state);
+    tracing::info!(%server, %address, %state, "endpoint changed");
+}
--- a/limiter/src/engine/endpoint_updates.rs
+++ b/limiter/src/engine/endpoint_updates.rs
@@ -1,4 +1,4 @@
-//! How the engine takes endpoint lists in: the configured one, and what discovery announces.
+//! Installs endpoint lists: the list of the configuration, and the lists that discovery announces.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -9,72 +9,76 @@
 use crate::endpoints::EndpointUpdate;
 use crate::runtime::duration;
 
-/// The endpoint list of the configuration counts as current after this long without an announcement of discovery.
-const DISCOVERY_PATIENCE_MS: Millis = 2000.0;
-/// The same where lists are pushed: an agent on this machine answers at once, unless it knows nothing.
-const PUSHED_DISCOVERY_PATIENCE_MS: Millis = 500.0;
-/// A process that takes its configured list asks its peers which servers have departed since: they have answered by
-/// then, and only then do clients come.
-const PEERS_PATIENCE_MS: Millis = 250.0;
+/// Time in milliseconds that a new process waits for an announcement of discovery where lists are subscribed
+/// to. Afterwards the list of the configuration counts as current.
+const SUBSCRIBED_DISCOVERY_TIMEOUT_MS: Millis = 2000.0;
+/// The same time where lists are pushed: an agent on this machine answers immediately, unless it knows
+/// nothing.
+const PUSHED_DISCOVERY_TIMEOUT_MS: Millis = 500.0;
+/// Time in milliseconds in which peers answer a new process that has installed the list of the configuration
+/// and polls them for tombstones. The process is ready only afterwards, and clients connect only then.
+const TOMBSTONE_POLL_TIMEOUT_MS: Millis = 250.0;
 
 impl Engine {
-    /// What an agent on this machine has counts as announced from the first moment: until it is heard, nothing may be
-    /// sent by an older list. Where lists are subscribed to, the list counts at once.
-    pub(super) fn take_configured_list(self: &Rc<Self>) {
+    /// Installs the endpoint list of the configuration file, or withholds the list where lists are pushed.
+    ///
+    /// What an agent on this machine knows counts as announced from the start of the process. Until the agent
+    /// answers, nothing may be sent by an older list. Where lists are subscribed to, the list is installed at
+    /// once.
+    pub(super) fn install_configured_list(self: &Rc<Self>) {
         let Some(list) = &self.config.known_endpoints else { return };
         let list = EndpointUpdate { complete: true, ..list.resolve(&self.config.names) };
         log_invalid_entries(&list);
         if self.config.settings.must_subscribe {
             self.apply_configured_list(list);
         } else {
-            self.configured_list.set(Some(list));
+            self.withheld_list.set(Some(list));
         }
     }
 
-    /// Takes the endpoint list of the configuration for current, if discovery announces nothing in time.
+    /// Installs the withheld endpoint list of the configuration, if discovery announces nothing in time.
     pub async fn fall_back_to_configured_endpoints(self: Rc<Self>) {
-        tokio::time::sleep(duration::from_ms(self.discovery_patience_ms())).await;
-        if let Some(list) = self.configured_list.take() {
-            let waited_ms = self.discovery_patience_ms();
+        let waited_ms = self.discovery_timeout_ms();
+        tokio::time::sleep(duration::from_ms(waited_ms)).await;
+        if let Some(list) = self.withheld_list.take() {
             tracing::warn!(waited_ms, "discovery silent, using configured endpoint list");
             self.apply_configured_list(list);
         }
     }
 
-    fn discovery_patience_ms(&self) -> Millis {
+    fn discovery_timeout_ms(&self) -> Millis {
         if self.config.settings.must_subscribe {
-            DISCOVERY_PATIENCE_MS
+            SUBSCRIBED_DISCOVERY_TIMEOUT_MS
         } else {
-            PUSHED_DISCOVERY_PATIENCE_MS
+            PUSHED_DISCOVERY_TIMEOUT_MS
         }
     }
 
-    /// Whether discovery has announced something, or has had its chance and the peers after it.
+    /// Returns whether the installed list counts as current: discovery has announced a list, or neither
+    /// discovery nor, after it, the peers have answered in time.
     pub(super) fn has_endpoint_list(&self) -> bool {
-        self.discovery_heard.get() || self.clock.age_ms() > self.discovery_patience_ms() + PEERS_PATIENCE_MS
+        let max_wait_ms = self.discovery_timeout_ms() + TOMBSTONE_POLL_TIMEOUT_MS;
+        self.has_announced_list.get() || self.clock.age_ms() > max_wait_ms
     }
 
-    /// Takes an announcement of discovery in.
+    /// Installs an announcement of discovery. The first announcement is applied to the withheld list of the
+    /// configuration.
     pub fn update_endpoints(self: &Rc<Self>, update: EndpointUpdate) {
-        self.discovery_heard.set(true);
+        self.has_announced_list.set(true);
         log_invalid_entries(&update);
-        let update = match self.configured_list.take() {
+        let update = match self.withheld_list.take() {
             Some(earlier) => update.applied_to(earlier),
             None => update,
         };
-        self.apply_update(update);
-    }
-
-    fn apply_update(self: &Rc<Self>, update: EndpointUpdate) {
         let complete = update.complete;
-        let event = |endpoints| Event::EndpointsChanged { complete, endpoints };
-        self.apply_endpoints(update, event);
+        self.apply_endpoints(update, |endpoints| Event::EndpointsChanged { complete, endpoints });
     }
 
     fn apply_configured_list(self: &Rc<Self>, list: EndpointUpdate) {
         self.apply_endpoints(list, |endpoints| Event::EndpointsConfigured { endpoints });
     }
 
+    /// Installs an update in the table of addresses, and passes its servers to the core as an event.
     fn apply_endpoints(
         self: &Rc<Self>,
         update: EndpointUpdate,
--- a/limiter/src/engine/pending.rs
+++ b/limiter/src/engine/pending.rs
@@ -11,12 +11,12 @@
 use crate::messages::attempt::AttemptId;
 use crate::messages::request::{FinalResponse, ForwardedRequest};
 
-/// Until when a request has to be answered.
+/// The times until which a request must be answered.
 #[derive(Debug, Clone, Copy)]
 pub struct Deadlines {
-    /// When the client gives up, as far as is known when it sent the request.
+    /// The client abandons the request at this time, as far as the arrival of the request is known.
     pub deadline: Millis,
-    /// When it may give up at the earliest: servers must not be told a later time.
+    /// The earliest time at which the client may abandon the request. Servers must not be given a later time.
     pub server_deadline: Millis,
 }
 
@@ -26,11 +26,19 @@
     response: oneshot::Sender<FinalResponse>,
     deadlines: Deadlines,
     client: Rc<dyn ClientConnection>,
-    /// Attempts begun so far.
-    attempts: u32,
+    /// Number of attempts that were begun.
+    num_attempts: u32,
     has_attempt_in_flight: bool,
 }
 
+/// A request that was inserted, and the receiver of its final response.
+pub struct InsertedRequest {
+    /// Number of the request.
+    pub id: RequestId,
+    /// Receives the final response.
+    pub response: oneshot::Receiver<FinalResponse>,
+}
+
 struct InFlightAttempt {
     started_at: Millis,
     cancel: oneshot::Sender<Outcome>,
@@ -38,17 +46,17 @@
 
 /// An attempt that may be made.
 pub struct NewAttempt {
-    /// Which.
+    /// Number of the attempt and its request.
     pub id: AttemptId,
-    /// What is forwarded.
+    /// The request that is forwarded.
     pub content: Rc<ForwardedRequest>,
-    /// When the client gives up.
+    /// The times until which the request must be answered.
     pub deadlines: Deadlines,
-    /// Another attempt of the same request is in flight: this one must not be made.
+    /// Whether another attempt of the same request is in flight. If so, this attempt must not be made.
     pub another_in_flight: bool,
 }
 
-/// All requests that wait, by id and by correlation id.
+/// All requests that wait for their final response, by number and by correlation id.
 #[derive(Default)]
 pub struct PendingRequests {
     requests: HashMap<RequestId, SubmittedRequest>,
@@ -58,95 +66,107 @@
 }
 
 impl PendingRequests {
-    /// Adds a request; nothing if one with the same correlation id is pending.
+    /// Inserts a request. Returns `None` if a request with the same correlation id is pending.
     pub fn insert(
         &mut self,
         content: ForwardedRequest,
         deadlines: Deadlines,
         client: Rc<dyn ClientConnection>,
-    ) -> Option<(RequestId, oneshot::Receiver<FinalResponse>)> {
+    ) -> Option<InsertedRequest> {
         if !self.correlation_ids.insert(content.correlation_id.clone()) {
             return None;
         }
         let id = self.next_id;
         self.next_id = self.next_id.wrapping_add(1);
-        let (response, receiver) = oneshot::channel();
-        let content = Rc::new(content);
-        let (attempts, has_attempt_in_flight) = (0, false);
-        let pending =
-            SubmittedRequest { content, response, deadlines, client, attempts, has_attempt_in_flight };
-        self.requests.insert(id, pending);
-        Some((id, receiver))
+        let (sender, receiver) = oneshot::channel();
+        let request = SubmittedRequest {
+            content: Rc::new(content),
+            response: sender,
+            deadlines,
+            client,
+            num_attempts: 0,
+            has_attempt_in_flight: false,
+        };
+        self.requests.insert(id, request);
+        Some(InsertedRequest { id, response: receiver })
     }
 
-    /// Requests that wait for their final response.
+    /// Returns the number of requests that wait for their final response.
     pub fn len(&self) -> usize {
         self.requests.len()
     }
 
-    /// Whether a request still waits for its final response.
+    /// Returns whether a request waits for its final response.
     pub fn contains(&self, id: RequestId) -> bool {
         self.requests.contains_key(&id)
     }
 
-    /// The client of a request that waits for its final response.
+    /// Returns the client of a request, if the request waits for its final response.
     pub fn client(&self, id: RequestId) -> Option<Rc<dyn ClientConnection>> {
-        self.requests.get(&id).map(|pending| pending.client.clone())
+        self.requests.get(&id).map(|request| request.client.clone())
     }
 
-    /// Forgets a request; false if it was not pending.
+    /// Removes a request without a response. Returns whether the request was pending.
     pub fn remove(&mut self, id: RequestId) -> bool {
         self.take(id).is_some()
     }
 
-    /// Gives a request its one final response; false if it was not pending. A client that has disconnected meanwhile
-    /// gets none.
+    /// Gives a request its one final response. Returns whether the request was pending. The response is lost
+    /// if the client has disconnected.
     pub fn respond(&mut self, id: RequestId, response: FinalResponse) -> bool {
-        let Some(pending) = self.take(id) else { return false };
-        let _ = pending.response.send(response);
+        let Some(request) = self.take(id) else { return false };
+        let _ = request.response.send(response);
         true
     }
 
     fn take(&mut self, id: RequestId) -> Option<SubmittedRequest> {
-        let pending = self.requests.remove(&id)?;
-        self.correlation_ids.remove(&pending.content.correlation_id);
-        Some(pending)
+        let request = self.requests.remove(&id)?;
+        self.correlation_ids.remove(&request.content.correlation_id);
+        Some(request)
     }
 
-    /// Counts one more attempt of a request.
-    pub fn next_attempt(&mut self, request: RequestId) -> Option<NewAttempt> {
-        let pending = self.requests.get_mut(&request)?;
-        let id = AttemptId { request, number: pending.attempts };
-        pending.attempts += 1;
-        let (content, deadlines) = (pending.content.clone(), pending.deadlines);
-        Some(NewAttempt { id, content, deadlines, another_in_flight: pending.has_attempt_in_flight })
+    /// Counts one more attempt of a request, and returns the attempt. Returns `None` if the request is not
+    /// pending.
+    pub fn next_attempt(&mut self, id: RequestId) -> Option<NewAttempt> {
+        let request = self.requests.get_mut(&id)?;
+        let number = request.num_attempts;
+        request.num_attempts += 1;
+        Some(NewAttempt {
+            id: AttemptId { request: id, number },
+            content: request.content.clone(),
+            deadlines: request.deadlines,
+            another_in_flight: request.has_attempt_in_flight,
+        })
     }
 
-    /// Counts an attempt as in flight; what the receiver gets tells how it is cancelled.
-    pub fn attempt_started(&mut self, id: AttemptId, now: Millis) -> oneshot::Receiver<Outcome> {
-        if let Some(pending) = self.requests.get_mut(&id.request) {
-            pending.has_attempt_in_flight = true;
+    /// Records that an attempt is in flight. The receiver yields the outcome with which the attempt is to be
+    /// cancelled.
+    pub fn record_attempt_start(&mut self, id: AttemptId, now: Millis) -> oneshot::Receiver<Outcome> {
+        if let Some(request) = self.requests.get_mut(&id.request) {
+            request.has_attempt_in_flight = true;
         }
         let (cancel, cancelled) = oneshot::channel();
         self.in_flight.insert(id, InFlightAttempt { started_at: now, cancel });
         cancelled
     }
 
-    /// Takes an attempt out of those in flight: when it was started.
-    pub fn attempt_ended(&mut self, id: AttemptId) -> Option<Millis> {
+    /// Records that an attempt has ended, and returns when the attempt was started. Returns `None` if the
+    /// attempt was not in flight.
+    pub fn record_attempt_end(&mut self, id: AttemptId) -> Option<Millis> {
         let attempt = self.in_flight.remove(&id)?;
-        if let Some(pending) = self.requests.get_mut(&id.request) {
-            pending.has_attempt_in_flight = false;
+        if let Some(request) = self.requests.get_mut(&id.request) {
+            request.has_attempt_in_flight = false;
         }
         Some(attempt.started_at)
     }
 
-    /// Whether an attempt is in flight.
+    /// Returns whether an attempt is in flight.
     pub fn is_in_flight(&self, id: AttemptId) -> bool {
         self.in_flight.contains_key(&id)
     }
 
-    /// Tells an attempt to close its connection and then to end with this outcome.
+    /// Asks an attempt to close its connection and then to end with this outcome. Only the first call for an
+    /// attempt has an effect.
     pub fn cancel_attempt(&mut self, id: AttemptId, outcome: Outcome) {
         if let Some(attempt) = self.in_flight.get_mut(&id) {
             let (used, _) = oneshot::channel();
--- a/limiter/src/engine/pending_response.rs
+++ b/limiter/src/engine/pending_response.rs
@@ -1,4 +1,4 @@
-//! The client side of a request that the engine has taken.
+//! The client's side of a submitted request.
 
 use std::rc::Rc;
 
@@ -8,11 +8,8 @@
 use super::Engine;
 use crate::messages::request::FinalResponse;
 
-/// A request with the same correlation id is pending: two at the servers could not be told apart.
-#[derive(Debug)]
-pub struct DuplicateRequest;
-
-/// A submitted request. Dropping it before its response tells the core that the client has disconnected.
+/// A submitted request whose final response is awaited. Dropping it before the response counts as a
+/// disconnect of the client.
 pub struct PendingResponse {
     engine: Rc<Engine>,
     id: RequestId,
@@ -20,7 +17,7 @@
 }
 
 impl PendingResponse {
-    /// The response to a request that the engine has taken; it comes through `response`.
+    /// Creates the client's side of request `id`, whose final response arrives through `response`.
     pub(super) fn new(engine: Rc<Engine>, id: RequestId, response: oneshot::Receiver<FinalResponse>) -> Self {
         PendingResponse { engine, id, response }
     }
@@ -33,6 +30,6 @@
 
 impl Drop for PendingResponse {
     fn drop(&mut self) {
-        self.engine.client_disconnected(self.id);
+        self.engine.record_client_disconnect(self.id);
     }
 }
--- a/limiter/src/engine/ports.rs
+++ b/limiter/src/engine/ports.rs
@@ -1,4 +1,5 @@
-//! What the engine needs of the layers around it. They implement these traits; the engine names none of them.
+//! The traits through which the engine calls the layers around it. Those layers name the engine; the engine
+//! names none of them.
 
 use std::rc::Rc;
 
@@ -10,8 +11,9 @@
 
 /// Makes attempts at servers.
 pub trait Upstream {
-    /// Starts an attempt without waiting for it; its end is reported by [`Engine::record_attempt_end`]. When `cancelled`
-    /// yields an outcome, the connection is closed first and the attempt then ends with that.
+    /// Starts an attempt without waiting for its end, which is reported to [`Engine::record_attempt_end`].
+    /// When `cancelled` yields an outcome, the attempt closes its connection first and then ends with that
+    /// outcome.
     fn start_attempt(&self, engine: &Rc<Engine>, job: AttemptJob, cancelled: oneshot::Receiver<Outcome>);
 
     /// Closes the idle connections to a server.
@@ -20,12 +22,12 @@
 
 /// The connection of a client whose request is pending.
 pub trait ClientConnection {
-    /// Whether the client has closed it by now. Looks at the socket itself.
+    /// Returns whether the client has closed the connection. Reads the socket itself.
     fn is_closed_by_client(&self) -> bool;
 }
 
-/// Carries gossip to other limiters.
+/// Sends gossip to other limiters.
 pub trait GossipTransport {
-    /// Sends a message to the limiter at position `to`; it may be lost.
+    /// Sends a message to the limiter at position `to`. The message may be lost.
     fn send(&self, to: u32, body: &[u8]);
 }
--- /dev/null
+++ b/limiter/src/engine/submission.rs
@@ -0,0 +1,72 @@
+//! Requests of clients: their submission, and disconnects of their clients.
+
+use std::rc::Rc;
+
+use limiter_core::{Event, Request, RequestId};
+
+use super::pending::{Deadlines, InsertedRequest};
+use super::timer_queue::TimerKind;
+use super::{ClientConnection, Engine, PendingResponse};
+use crate::messages::request::ForwardedRequest;
+use crate::observability::labels::ResponseOutcome;
+use crate::observability::metrics::Metrics;
+use crate::runtime::arrival::Arrival;
+use crate::runtime::duration;
+
+/// A request with the same correlation id is pending: a server could not distinguish the two.
+#[derive(Debug)]
+pub struct DuplicateRequest;
+
+impl Engine {
+    /// Submits a client's request. `arrival` is the arrival of its last byte, which may be some time ago; the
+    /// deadline counts from then.
+    ///
+    /// # Errors
+    /// [`DuplicateRequest`] if a request with the same correlation id is pending.
+    pub fn submit(
+        self: &Rc<Self>,
+        content: ForwardedRequest,
+        mut request: Request,
+        arrival: Arrival,
+        client: Rc<dyn ClientConnection>,
+    ) -> Result<PendingResponse, DuplicateRequest> {
+        let mut state = self.state.borrow_mut();
+        let now = self.now();
+        let waited_ms = duration::to_ms(arrival.read_at.elapsed());
+        let deadline = now + request.timeout_ms - waited_ms;
+        let server_deadline = deadline - duration::to_ms(arrival.possible_wait());
+        let deadlines = Deadlines { deadline, server_deadline };
+        let correlation_id = content.correlation_id.clone();
+        let InsertedRequest { id, response } =
+            state.pending.insert(content, deadlines, client).ok_or(DuplicateRequest)?;
+        tracing::debug!(request = id, ?correlation_id, waited_ms, "request submitted");
+        self.set_timer(&mut state, deadline, TimerKind::Deadline(id));
+        request.id = id;
+        request.waited_ms = waited_ms;
+        self.dispatch_event(&mut state, Event::RequestArrived(request));
+        self.metrics.requests.inc();
+        Ok(PendingResponse::new(self.clone(), id, response))
+    }
+
+    /// Returns whether the client of a request still waits for its response. Reads the client's socket,
+    /// because a disconnect may not have been read yet if the process stalled.
+    pub fn is_client_waiting(self: &Rc<Self>, id: RequestId) -> bool {
+        let Some(client) = self.state.borrow().pending.client(id) else { return false };
+        let is_closed = client.is_closed_by_client();
+        if is_closed {
+            self.record_client_disconnect(id);
+        }
+        !is_closed
+    }
+
+    /// Records that the client of a request has disconnected. Has no effect if the request has its final
+    /// response.
+    pub(super) fn record_client_disconnect(self: &Rc<Self>, id: RequestId) {
+        let mut state = self.state.borrow_mut();
+        if state.pending.remove(id) {
+            tracing::debug!(request = id, "client disconnected");
+            Metrics::count(&self.metrics.responses, ResponseOutcome::ClientDisconnected);
+            self.dispatch_event(&mut state, Event::ClientDisconnected { id });
+        }
+    }
+}
--- a/limiter/src/engine/timers.rs
+++ b/limiter/src/engine/timers.rs
@@ -1,8 +1,8 @@
-//! The engine's timers: set by the decisions and by the engine itself, fired when they are due.
+//! The engine's timers: timers of the decisions and of the engine itself, fired when they are due.
 
 use std::rc::Rc;
 
-use limiter_core::{Event, Millis, Outcome};
+use limiter_core::{Event, Millis, Outcome, RequestId};
 
 use super::timer_queue::{NextTimer, TimerKind};
 use super::{Engine, State};
@@ -19,16 +19,10 @@
         }
     }
 
-    /// Fires timers when they are due, forever.
+    /// Fires timers when they are due. Never returns.
     pub async fn run_timers(self: Rc<Self>) {
         loop {
-            if let Some(stall) = self.arrival_clock.record_iteration() {
-                self.metrics.process_stalls.inc();
-                tracing::debug!(stall_ms = duration::to_ms(stall), "process stalled");
-                // What has come meanwhile is taken in before timers decide as if it had not.
-                let pending = self.state.borrow().pending.len();
-                read_pending_input(pending).await;
-            }
+            self.catch_up_after_stall().await;
             let next = self.fire_due_timers();
             let changed = self.timers_changed.notified();
             match next {
@@ -41,7 +35,17 @@
         }
     }
 
-    /// Fires what is due; the moment of the next timer.
+    /// Records an iteration of the event loop. After a stall, reads what arrived during the stall, so that
+    /// timers do not decide as if it had not arrived.
+    async fn catch_up_after_stall(&self) {
+        let Some(stall) = self.arrival_clock.record_iteration() else { return };
+        self.metrics.process_stalls.inc();
+        tracing::debug!(stall_ms = duration::to_ms(stall), "process stalled");
+        let num_pending = self.state.borrow().pending.len();
+        read_pending_input(num_pending).await;
+    }
+
+    /// Fires the timers that are due, and returns when the next timer is due.
     fn fire_due_timers(self: &Rc<Self>) -> Option<Millis> {
         let mut state = self.state.borrow_mut();
         loop {
@@ -57,15 +61,18 @@
         match kind {
             TimerKind::Decision(token) => state.events.push_back(Event::TimerFired { token }),
             TimerKind::AttemptTimeout(id) => state.pending.cancel_attempt(id, Outcome::TimedOut),
-            // A backstop: the core ends their requests before this. Nothing is sent after it.
-            TimerKind::Deadline(id) => {
-                if state.pending.respond(id, FinalResponse::Failed) {
-                    tracing::warn!(request = id, "request failed at deadline");
-                    Metrics::count(&self.metrics.responses, ResponseOutcome::FailedAtDeadline);
-                    state.events.push_back(Event::ClientDisconnected { id });
-                }
-            }
+            TimerKind::Deadline(id) => self.fail_at_deadline(state, id),
+        }
+        self.handle_queued_events(state);
+    }
+
+    /// Fails a request that is still pending at its deadline. This is a backstop: the core ends its requests
+    /// before their deadlines. Nothing is sent for the request afterwards.
+    fn fail_at_deadline(&self, state: &mut State, id: RequestId) {
+        if state.pending.respond(id, FinalResponse::Failed) {
+            tracing::warn!(request = id, "request failed at deadline");
+            Metrics::count(&self.metrics.responses, ResponseOutcome::FailedAtDeadline);
+            state.events.push_back(Event::ClientDisconnected { id });
         }
-        self.handle_events(state);
     }
 }
