--- a/limiter/src/config/error.rs
+++ b/limiter/src/config/error.rs
@@ -7,10 +7,10 @@
 
 use super::limits::MIN_CONNECTIONS;
 
-/// Why a configuration cannot be used; one plain line that names the place and the value.
+/// Why a configuration cannot be used. The message is one line that names the place and the value.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
-    /// The variable that names the file is absent or empty.
+    /// The variable with the path of the file is absent or empty.
     #[error("{variable} is not set")]
     NoFile {
         /// The variable.
@@ -21,10 +21,10 @@
     Unreadable {
         /// The file.
         path: String,
-        /// What reading it gave.
+        /// The error of the system.
         error: io::Error,
     },
-    /// The file is not JSON, lacks a key, or holds a value of another type.
+    /// The file is not JSON, has no value for a required key, or has a value of another type.
     #[error("{path}: {error}")]
     Malformed {
         /// The file.
@@ -32,12 +32,12 @@
         /// Names the key or the place in the file.
         error: serde_json::Error,
     },
-    /// A value stands neither in the environment, as far as that counts, nor in the file.
+    /// A value is neither in the environment, as far as the environment counts, nor in the file.
     #[error("neither {variable} nor '{key}' in {path} gives a value")]
     Missing {
-        /// The variable that may hold it.
+        /// The variable that may have the value.
         variable: &'static str,
-        /// The key of the file that may hold it.
+        /// The key of the file that may have the value.
         key: &'static str,
         /// The file.
         path: String,
@@ -45,7 +45,7 @@
     /// A value is not an IP address with a port.
     #[error("{origin} '{value}' is not an address and port")]
     InvalidAddress {
-        /// Where the value stands.
+        /// Where the value was found.
         origin: ValueOrigin,
         /// The value.
         value: String,
@@ -58,7 +58,7 @@
         /// The value.
         value: String,
     },
-    /// A server's idle time is negative or not finite.
+    /// The idle timeout of servers is negative or not finite.
     #[error("{path}: IdleCloseMs {value} is not a time")]
     InvalidIdleTime {
         /// The file.
@@ -79,22 +79,23 @@
     TooFewConnections {
         /// The file.
         path: String,
-        /// How many connections they allow.
+        /// Number of connections that the limits allow.
         available: usize,
     },
 }
 
 impl ConfigError {
-    /// Whether the same file may be readable a moment later: a call failed, or it was seen half written.
-    pub fn may_pass(&self) -> bool {
+    /// Returns whether the same file may be readable a moment later: a system call failed, or the file was
+    /// read while it was being written.
+    pub fn is_transient(&self) -> bool {
         matches!(self, ConfigError::Unreadable { .. } | ConfigError::Malformed { .. })
     }
 }
 
-/// Where a value of the configuration stands.
+/// Where a value of the configuration was found.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ValueOrigin {
-    /// In a variable of the environment.
+    /// In an environment variable.
     Variable(&'static str),
     /// In the file.
     File {
--- a/limiter/src/config/file.rs
+++ b/limiter/src/config/file.rs
@@ -1,41 +1,52 @@
-//! The JSON file that the platform writes, as it is written.
+//! The configuration file as the platform writes it.
 
 use std::net::SocketAddr;
 
 use serde::Deserialize;
 use simulator_adapter::InstanceSettings;
 
-/// The file that `ROUTER_CONFIG` names.
+/// The JSON object in the file that `ROUTER_CONFIG` names. Unknown keys are ignored.
 #[derive(Deserialize)]
 pub struct ConfigFile {
+    /// Name of this limiter.
     pub name: Option<String>,
+    /// Address on which clients connect.
     pub listen: Option<String>,
+    /// Address of discovery.
     pub discovery: Option<String>,
+    /// Hexadecimal seed of the random numbers.
     pub seed: Option<String>,
+    /// The platform's limits on this process.
     #[serde(default)]
     pub limits: PlatformLimits,
+    /// Address on which gossip arrives.
     pub peer_listen: Option<SocketAddr>,
+    /// Gossip addresses of all limiters by position.
     #[serde(default)]
     pub peers: Vec<SocketAddr>,
-    /// Checked but unused: gossip goes to one peer at a time.
+    /// Gossip address of all limiters together. Parsed to find malformed values, and unused: gossip is sent
+    /// to one peer at a time.
     #[serde(rename = "peers_all")]
     _peers_all: Option<SocketAddr>,
-    /// An endpoint list; kept as plain JSON, as one that cannot be read must not cost the rest of the file.
+    /// The endpoint list as this limiter last had it. Plain JSON, because a list that cannot be parsed must
+    /// not make the rest of the file unusable.
     #[serde(rename = "known")]
     pub known_endpoints: Option<serde_json::Value>,
+    /// The settings of the decisions, in the form of the simulator's wire.
     pub settings: InstanceSettings,
 }
 
-/// The platform's limits that bear on the number of open connections.
+/// The platform's limits from which the number of open connections follows.
 #[derive(Deserialize, Clone, Copy)]
 #[serde(default)]
 pub struct PlatformLimits {
-    /// Descriptors that the process may have open.
+    /// Number of descriptors that the process may have open.
     pub sockets: usize,
-    /// Memory that the process may use.
+    /// Memory in MB that the process may use.
     pub memory_mb: f64,
 }
 
+/// The limits if the file names none.
 impl Default for PlatformLimits {
     fn default() -> Self {
         PlatformLimits { sockets: 1024, memory_mb: 192.0 }
--- a/limiter/src/config/limits.rs
+++ b/limiter/src/config/limits.rs
@@ -1,45 +1,49 @@
-//! How many connections may be open. Memory follows from their number, as buffers are bounded.
+//! Bounds on open connections. The memory of the process follows from their number, because all buffers are
+//! bounded.
 
 use super::file::PlatformLimits;
 
-/// Memory that one connection may hold at most, in MB: the bound on the number of connections by memory.
+/// Memory in MB that one connection may use at most. Bounds the number of connections by memory.
 const CONNECTION_MB: f64 = 0.15;
-/// Descriptors that no client or server may take: the three standard streams, two for events and one that wakes, two
-/// for signals, the listener, the peers' socket, the watches on the old and the new discovery, each with a late call,
-/// the configuration as it is read again, a client that is being accepted.
+/// Number of descriptors that no client or server connection may use: the three standard streams, two for
+/// events and one for wake-ups, two for signals, the listener, the gossip socket, the watches on the old and
+/// the new discovery with a slow request each, the configuration file during a reload, and a client that is
+/// being accepted.
 const RESERVED_DESCRIPTORS: usize = 16;
-/// Connections that the platform's limits have to leave room for.
+/// Lowest number of connections that the platform's limits must allow.
 pub const MIN_CONNECTIONS: usize = 48;
-/// One connection of so many may be a client's; with [`SERVER_DIVISOR`] a sixth of them is left to spare.
+/// The connections are divided by this number for clients: a half. With [`SERVER_DIVISOR`], a sixth is spare.
 const CLIENT_DIVISOR: usize = 2;
-/// One connection of so many may be to a server.
+/// The connections are divided by this number for servers: a third.
 const SERVER_DIVISOR: usize = 3;
 
-/// The part of the memory in which client connections hold what is read ahead of more requests than one holds itself: of
-/// the sixth that connections leave to spare, as buffers may take twice what they hold.
+/// The memory is divided by this number for bytes that are read ahead beyond what each client connection may
+/// hold in any case. The bytes use a part of the sixth that the connections leave spare, because a buffer may
+/// allocate twice its content.
 const READ_AHEAD_DIVISOR: f64 = 16.0;
 const BYTES_PER_MB: f64 = 1e6;
 
 /// Bounds on open connections.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ConnectionLimits {
-    /// Most connections of clients.
+    /// Highest number of client connections.
     pub clients: usize,
-    /// Most connections to servers, idle ones included.
+    /// Highest number of connections to servers, including idle ones.
     pub servers: usize,
-    /// Most bytes that are read ahead of all clients together, beyond what each connection may hold.
+    /// Highest number of bytes that are read ahead for all clients together, beyond what each connection may
+    /// hold in any case.
     pub read_ahead_bytes: usize,
 }
 
 /// The platform's limits allow fewer than [`MIN_CONNECTIONS`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TooFewConnections {
-    /// How many they allow.
+    /// Number of connections that the limits allow.
     pub available: usize,
 }
 
 impl ConnectionLimits {
-    /// The bounds that follow from the platform's limits.
+    /// Returns the bounds that follow from the platform's limits.
     ///
     /// # Errors
     /// [`TooFewConnections`] if the limits are too low to serve.
--- a/limiter/src/config/mod.rs
+++ b/limiter/src/config/mod.rs
@@ -1,8 +1,18 @@
-//! The configuration: the JSON file that `ROUTER_CONFIG` names, with single variables that override it.
+//! The configuration: the JSON file that `ROUTER_CONFIG` names, and variables that override single values.
+//!
+//! | file | job |
+//! | --- | --- |
+//! | `file` | the JSON file as the platform writes it |
+//! | `lookup` | values that may be in the environment or in the file |
+//! | `limits` | bounds on connections, from the platform's limits |
+//! | `shutdown` | times of the shutdown, from the classes of requests |
+//! | `site` | settings of the program, beyond those of the core |
+//! | `error` | why a configuration cannot be used |
 
 mod error;
 mod file;
 mod limits;
+mod lookup;
 mod shutdown;
 mod site;
 
@@ -15,54 +25,55 @@
 use crate::endpoints::EndpointList;
 use crate::net::through_shortage;
 pub use error::ConfigError;
-use error::ValueOrigin;
 use file::ConfigFile;
 use limits::{ConnectionLimits, TooFewConnections};
+use lookup::Lookup;
 use shutdown::ShutdownTimes;
 use site::SiteSettings;
 
-/// Names the file.
+/// Variable with the path of the configuration file.
 const FILE_VARIABLE: &str = "ROUTER_CONFIG";
-/// Stands above `name` of the file.
+/// Variable that overrides `name` of the file.
 const NAME_VARIABLE: &str = "ROUTER_NAME";
-/// Stands above `listen` of the file.
+/// Variable that overrides `listen` of the file.
 const LISTEN_VARIABLE: &str = "ROUTER_LISTEN";
-/// Stands above `discovery` of the file, at the start alone.
+/// Variable that overrides `discovery` of the file, at the start only.
 const DISCOVERY_VARIABLE: &str = "ROUTER_DISCOVERY";
 
-/// Fraction of a server's idle time after which this side drops a connection: a request written to one that the
-/// server closes at that moment would be lost as a reset.
+/// Fraction of a server's idle timeout after which this side closes a pooled connection. A request that is
+/// written to a connection while the server closes the connection would be lost as a reset.
 const IDLE_FRACTION: f64 = 0.5;
 
 /// The configuration in the program's terms.
 pub struct Config {
-    /// This limiter's name.
+    /// Name of this limiter.
     pub name: String,
-    /// Where clients connect.
+    /// Address on which clients connect.
     pub listen: SocketAddr,
-    /// Where discovery answers.
+    /// Address of discovery.
     pub discovery: SocketAddr,
-    /// For random numbers.
+    /// Seed of the random numbers.
     pub seed: u64,
-    /// Most open connections of clients.
+    /// Highest number of open client connections.
     pub max_client_connections: usize,
-    /// Most open connections to servers.
+    /// Highest number of open connections to servers.
     pub max_server_connections: usize,
-    /// Most bytes that are read ahead of all clients together, beyond what each connection may hold.
+    /// Highest number of bytes that are read ahead for all clients together, beyond the bytes that each
+    /// connection may hold in any case.
     pub max_read_ahead_bytes: usize,
-    /// Where gossip of other limiters arrives.
+    /// Address on which gossip of other limiters arrives.
     pub peer_listen: Option<SocketAddr>,
-    /// The limiters' gossip addresses by position, this limiter's among them.
+    /// Gossip addresses of all limiters by position, including this one.
     pub peers: Vec<SocketAddr>,
-    /// The list of servers as it was last known; may be old.
+    /// The endpoint list of the configuration file, which may be stale.
     pub known_endpoints: Option<EndpointList>,
-    /// Milliseconds after which an idle connection to a server is dropped.
+    /// Time in milliseconds after which an idle connection to a server is closed.
     pub server_connection_idle_ms: Millis,
-    /// For how long requests are accepted after SIGTERM.
+    /// Time in milliseconds for which requests are accepted after SIGTERM.
     pub shutdown_accept_ms: Millis,
-    /// How long after SIGTERM all of them are answered.
+    /// Time in milliseconds after SIGTERM at which all accepted requests have their final response.
     pub shutdown_response_ms: Millis,
-    /// Most units that one request may ask for.
+    /// Highest number of quota units that one request may cost.
     pub max_request_units: f64,
     /// The settings of the core.
     pub settings: Settings,
@@ -71,20 +82,21 @@
 }
 
 impl Config {
-    /// Reads the environment and the file at a start.
+    /// Reads the environment and the file at the start.
     ///
     /// # Errors
-    /// The first value that is missing or cannot be used.
+    /// [`ConfigError`] names the first value that is missing or cannot be used.
     pub fn from_environment() -> Result<Config, ConfigError> {
-        Config::read(&variable, |path| through_shortage(|| std::fs::read_to_string(path)))
+        Config::read(&environment_variable, |path| through_shortage(|| std::fs::read_to_string(path)))
     }
 
-    /// Reads the file again. `ROUTER_DISCOVERY` tells of the start: only the file can name another address.
+    /// Reads the file again. `ROUTER_DISCOVERY` applies to the start only, so that the file can name another
+    /// address of discovery.
     ///
     /// # Errors
-    /// As at a start.
+    /// [`ConfigError`] names the first value that is missing or cannot be used.
     pub fn reloaded() -> Result<Config, ConfigError> {
-        let variable = |name: &str| variable(name).filter(|_| name != DISCOVERY_VARIABLE);
+        let variable = |name: &str| environment_variable(name).filter(|_| name != DISCOVERY_VARIABLE);
         Config::read(&variable, |path| std::fs::read_to_string(path))
     }
 
@@ -93,21 +105,25 @@
         read_text: impl Fn(&str) -> io::Result<String>,
     ) -> Result<Config, ConfigError> {
         let path = variable(FILE_VARIABLE).ok_or(ConfigError::NoFile { variable: FILE_VARIABLE })?;
-        let mut file = read_file(&path, read_text)?;
-        let lookup = Lookup { variable, path: &path };
-        let name = lookup.text(NAME_VARIABLE, "name", file.name.take())?.value;
-        let listen = lookup.text(LISTEN_VARIABLE, "listen", file.listen.take())?.address()?;
-        let discovery = lookup.text(DISCOVERY_VARIABLE, "discovery", file.discovery.take())?.address()?;
-        let seed = seed(&path, file.seed.as_deref())?;
-        let bounds = SiteSettings::new(&file.settings);
-        let server_connection_idle_ms = idle_ms(&path, bounds.server_idle_ms)?;
+        let file = read_file(&path, read_text)?;
+        Config::from_file(file, &Lookup { variable, path: &path })
+    }
+
+    /// Validates the values of the file, and those that override them.
+    fn from_file(file: ConfigFile, lookup: &Lookup) -> Result<Config, ConfigError> {
+        let path = lookup.path;
+        let name = lookup.text(NAME_VARIABLE, "name", file.name)?.value;
+        let listen = lookup.text(LISTEN_VARIABLE, "listen", file.listen)?.address()?;
+        let discovery = lookup.text(DISCOVERY_VARIABLE, "discovery", file.discovery)?.address()?;
+        let seed = parse_seed(path, file.seed.as_deref())?;
+        let site = SiteSettings::new(&file.settings);
+        let server_connection_idle_ms = connection_idle_ms(path, site.server_idle_ms)?;
         let (settings, names) = file
             .settings
             .into_core()
-            .map_err(|error| ConfigError::InvalidSettings { path: path.clone(), error })?;
-        let connections = ConnectionLimits::new(file.limits)
-            .map_err(|TooFewConnections { available }| ConfigError::TooFewConnections { path, available })?;
-        let shutdown = ShutdownTimes::new(bounds.max_deadline_ms, &settings.classes);
+            .map_err(|error| ConfigError::InvalidSettings { path: path.to_string(), error })?;
+        let connections = connection_limits(path, file.limits)?;
+        let shutdown = ShutdownTimes::new(site.max_deadline_ms, &settings.classes);
         Ok(Config {
             name,
             listen,
@@ -118,19 +134,19 @@
             max_read_ahead_bytes: connections.read_ahead_bytes,
             peer_listen: file.peer_listen,
             peers: file.peers,
-            known_endpoints: file.known_endpoints.and_then(readable_list),
+            known_endpoints: file.known_endpoints.and_then(parse_known_endpoints),
             server_connection_idle_ms,
             shutdown_accept_ms: shutdown.accept_ms,
             shutdown_response_ms: shutdown.response_ms,
-            max_request_units: bounds.max_request_units,
+            max_request_units: site.max_request_units,
             settings,
             names,
         })
     }
 }
 
-/// A variable of the environment; an empty one counts as absent.
-fn variable(name: &str) -> Option<String> {
+/// Returns the value of an environment variable. An empty variable counts as absent.
+fn environment_variable(name: &str) -> Option<String> {
     std::env::var(name).ok().filter(|value| !value.is_empty())
 }
 
@@ -141,60 +157,30 @@
     serde_json::from_str(&text).map_err(malformed)
 }
 
-/// Finds values that may stand in the environment or in the file.
-struct Lookup<'a> {
-    variable: &'a dyn Fn(&str) -> Option<String>,
-    path: &'a str,
-}
-
-/// A value and where it was found.
-struct Found {
-    value: String,
-    origin: ValueOrigin,
-}
-
-impl Lookup<'_> {
-    /// The variable's value, or else the file's under `key`.
-    fn text(
-        &self,
-        variable: &'static str,
-        key: &'static str,
-        in_file: Option<String>,
-    ) -> Result<Found, ConfigError> {
-        if let Some(value) = (self.variable)(variable) {
-            return Ok(Found { value, origin: ValueOrigin::Variable(variable) });
-        }
-        let path = self.path.to_string();
-        match in_file {
-            Some(value) => Ok(Found { value, origin: ValueOrigin::File { path, key } }),
-            None => Err(ConfigError::Missing { variable, key, path }),
-        }
-    }
-}
-
-impl Found {
-    fn address(self) -> Result<SocketAddr, ConfigError> {
-        let Found { value, origin } = self;
-        value.parse().map_err(|_| ConfigError::InvalidAddress { origin, value })
-    }
-}
-
-/// The seed of the file, which is in hex; without one, processes differ by their ids.
-fn seed(path: &str, hex: Option<&str>) -> Result<u64, ConfigError> {
+/// Parses the hexadecimal seed of the file. Without a seed, processes differ by their process ids.
+fn parse_seed(path: &str, hex: Option<&str>) -> Result<u64, ConfigError> {
     let Some(hex) = hex else { return Ok(u64::from(std::process::id())) };
     let invalid = |_| ConfigError::InvalidSeed { path: path.to_string(), value: hex.to_string() };
     u64::from_str_radix(hex, 16).map_err(invalid)
 }
 
-/// When this side drops an idle connection to a server that drops it after `server_idle_ms`.
-fn idle_ms(path: &str, server_idle_ms: Millis) -> Result<Millis, ConfigError> {
+/// Returns the time in milliseconds after which this side closes an idle connection to a server that closes
+/// the connection after `server_idle_ms`.
+fn connection_idle_ms(path: &str, server_idle_ms: Millis) -> Result<Millis, ConfigError> {
     if !server_idle_ms.is_finite() || server_idle_ms < 0.0 {
         return Err(ConfigError::InvalidIdleTime { path: path.to_string(), value: server_idle_ms });
     }
     Ok(server_idle_ms * IDLE_FRACTION)
 }
 
-/// A list that cannot be read is as good as none: discovery announces the complete one.
-fn readable_list(list: serde_json::Value) -> Option<EndpointList> {
+fn connection_limits(path: &str, platform: file::PlatformLimits) -> Result<ConnectionLimits, ConfigError> {
+    ConnectionLimits::new(platform).map_err(|TooFewConnections { available }| {
+        ConfigError::TooFewConnections { path: path.to_string(), available }
+    })
+}
+
+/// Parses the endpoint list of the configuration. A list that cannot be parsed counts as absent, because
+/// discovery announces the complete list.
+fn parse_known_endpoints(list: serde_json::Value) -> Option<EndpointList> {
     serde_json::from_value(list).ok()
 }
--- a/limiter/src/config/shutdown.rs
+++ b/limiter/src/config/shutdown.rs
@@ -1,29 +1,30 @@
-//! How long a shutdown may take.
+//! The times of a graceful shutdown.
 
 use limiter_core::{Millis, RequestClass};
 
-/// The platform counts no deadline of a client as longer than this, in milliseconds: SIGKILL comes no sooner after
-/// SIGTERM than the longest deadline and [`KILL_DELAY_MS`].
+/// Longest deadline of a client in milliseconds, as the platform counts deadlines. The platform sends SIGKILL
+/// no sooner after SIGTERM than the longest deadline plus [`KILL_DELAY_MS`].
 pub const MAX_CLIENT_DEADLINE_MS: Millis = 3000.0;
-/// The least time from the longest deadline to SIGKILL, in milliseconds.
+/// Shortest time in milliseconds from the longest deadline to SIGKILL.
 const KILL_DELAY_MS: Millis = 700.0;
-/// Kept between the last response and SIGKILL, in milliseconds.
+/// Time in milliseconds that is left between the last response and SIGKILL.
 const KILL_MARGIN_MS: Millis = 300.0;
-/// Requests are accepted for so long at least, in milliseconds: new connections come for 400 ms after SIGTERM.
+/// Shortest time in milliseconds for which requests are accepted, because clients open new connections for
+/// 400 ms after SIGTERM.
 const MIN_ACCEPT_MS: Millis = 600.0;
 
-/// Times after SIGTERM.
+/// Times in milliseconds after SIGTERM.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ShutdownTimes {
-    /// When connections begin to be shut down. Until then all requests are accepted; new connections are accepted for a
-    /// little longer.
+    /// When the connections are shut down. All requests are accepted until this time, and new connections for
+    /// a short time longer.
     pub accept_ms: Millis,
-    /// By then all of them are answered.
+    /// When all accepted requests have their final response.
     pub response_ms: Millis,
 }
 
 impl ShutdownTimes {
-    /// The times for clients that wait up to `max_deadline_ms` for requests of these classes.
+    /// Returns the times for clients that wait up to `max_deadline_ms` for requests of these classes.
     pub fn new(max_deadline_ms: Millis, classes: &[RequestClass]) -> ShutdownTimes {
         let longest_request_ms = classes.iter().map(longest_request_ms).fold(0.0, f64::max);
         let response_ms = (max_deadline_ms + KILL_DELAY_MS - KILL_MARGIN_MS).max(MIN_ACCEPT_MS);
@@ -32,8 +33,8 @@
     }
 }
 
-/// The longest that a request of a class may take: the core ends one at its latency objective where a later
-/// response is worth nothing.
+/// Returns the longest time that a request of a class may take. The core ends a request at its latency
+/// objective if a later response has no value.
 fn longest_request_ms(class: &RequestClass) -> Millis {
     if class.late_value > 0.0 {
         MAX_CLIENT_DEADLINE_MS
--- a/limiter/src/main.rs
+++ b/limiter/src/main.rs
@@ -1,4 +1,11 @@
-//! The limiter: one program that puts the decisions of `limiter-core` on sockets. Start, signals, exit code.
+//! The limiter: the program that connects the decisions of `limiter-core` to sockets.
+//!
+//! This file has the start, the wiring of the parts, and the exit code. The parts depend on each other one
+//! way:
+//!
+//! - [`frontend`], [`discovery`], [`upstream`] and [`gossip`] use the [`engine`], and not each other.
+//! - The engine uses them through the traits in `engine/ports.rs` only.
+//! - All of them use [`net`], [`runtime`], [`messages`], [`config`], [`endpoints`] and [`observability`].
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -21,7 +28,8 @@
 use std::rc::Rc;
 
 use limiter_core::SettingsError;
-use tokio::runtime::{Builder, LocalOptions};
+use tokio::runtime::{Builder, LocalOptions, LocalRuntime};
+use tokio::task::spawn_local;
 
 use config::{Config, ConfigError};
 use discovery::WatchTarget;
@@ -32,8 +40,9 @@
 use runtime::signals::{SignalError, Signals};
 use upstream::Servers;
 
-/// Connections that may wait to be accepted, as far as the system allows. Beyond it the first packets of a connection
-/// are dropped and sent again after 1 s: a process that stalls for a moment must not cost its clients that.
+/// Highest number of connections that wait to be accepted, as far as the system allows. Beyond this number
+/// the first packets of a connection are dropped and sent again after 1 s. A process that stalls for a moment
+/// must not cost its clients that second.
 const ACCEPT_QUEUE: i32 = 1024;
 
 /// Why the limiter could not start.
@@ -56,9 +65,8 @@
 }
 
 fn main() -> ExitCode {
-    let build = || Builder::new_current_thread().enable_all().build_local(LocalOptions::default());
-    let runtime = through_shortage(build);
-    match runtime.map_err(StartError::Runtime).and_then(|runtime| runtime.block_on(run())) {
+    let result = start_runtime().and_then(|runtime| runtime.block_on(run()));
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("limiter: {error}");
@@ -67,15 +75,18 @@
     }
 }
 
-/// Serves until SIGTERM or SIGINT, then finishes what was accepted.
+fn start_runtime() -> Result<LocalRuntime, StartError> {
+    let build = || Builder::new_current_thread().enable_all().build_local(LocalOptions::default());
+    through_shortage(build).map_err(StartError::Runtime)
+}
+
+/// Serves until SIGTERM or SIGINT, and finishes the accepted requests.
 async fn run() -> Result<(), StartError> {
-    // Before all else: until it is handled, a SIGHUP ends the program.
+    // The handlers are installed first, because a SIGHUP ends the program until it is handled.
     let signals = Rc::new(Signals::install()?);
     let config = Config::from_environment()?;
     let _log = logging::start(config.name.clone());
-    let address = config.listen;
-    let listener = through_shortage(|| Listener::bind(address, ACCEPT_QUEUE))
-        .map_err(|error| StartError::Listen { address, error })?;
+    let listener = listen(config.listen)?;
     let gossip_socket = config.peer_listen.map(bind_gossip).transpose()?;
     let servers = Servers::new(&config);
     let watch_target = Rc::new(WatchTarget::new(config.discovery));
@@ -84,29 +95,45 @@
     let address = listener.local_address().map_err(StartError::LocalAddress)?;
     tracing::info!(%address, "listening");
     if let Some(socket) = gossip_socket {
-        tokio::task::spawn_local(gossip::receive(engine.clone(), socket));
+        spawn_local(gossip::receive(engine.clone(), socket));
     }
-    tokio::task::spawn_local(engine.clone().run_timers());
-    tokio::task::spawn_local(upstream::close_expired_connections(servers));
-    tokio::task::spawn_local(discovery::run(engine.clone(), watch_target.clone()));
-    tokio::task::spawn_local(engine.clone().fall_back_to_configured_endpoints());
-    tokio::task::spawn_local(reload::reload_on_hangup(signals.clone(), watch_target));
-    tokio::task::spawn_local(report_on_request(signals.clone(), engine.clone()));
-    let passed_on = signals.clone();
-    tokio::task::spawn_local(async move { passed_on.run().await });
+    spawn_tasks(&engine, servers, watch_target, &signals);
     frontend::serve(&engine, listener, signals.stop_requested()).await;
     engine.finish_shutdown();
     Ok(())
 }
 
-/// Writes all counters to the log on each SIGUSR1.
-async fn report_on_request(signals: Rc<Signals>, engine: Rc<Engine>) {
+/// Starts the tasks that run as long as the process. The watch on discovery starts before the task that
+/// reloads the configuration, so that the first source is always watched.
+fn spawn_tasks(
+    engine: &Rc<Engine>,
+    servers: Rc<Servers>,
+    watch_target: Rc<WatchTarget>,
+    signals: &Rc<Signals>,
+) {
+    spawn_local(engine.clone().run_timers());
+    spawn_local(upstream::close_expired_connections(servers));
+    spawn_local(discovery::run(engine.clone(), watch_target.clone()));
+    spawn_local(engine.clone().fall_back_to_configured_endpoints());
+    spawn_local(reload::reload_on_hangup(signals.clone(), watch_target));
+    spawn_local(log_counters_on_request(signals.clone(), engine.clone()));
+    let signals = signals.clone();
+    spawn_local(async move { signals.run().await });
+}
+
+/// Logs all counters on each SIGUSR1.
+async fn log_counters_on_request(signals: Rc<Signals>, engine: Rc<Engine>) {
     loop {
         signals.report_requested().await;
         engine.log_counters();
     }
 }
 
+fn listen(address: SocketAddr) -> Result<Listener, StartError> {
+    through_shortage(|| Listener::bind(address, ACCEPT_QUEUE))
+        .map_err(|error| StartError::Listen { address, error })
+}
+
 fn bind_gossip(address: SocketAddr) -> Result<Rc<DatagramSocket>, StartError> {
     let socket = through_shortage(|| DatagramSocket::bind(address))
         .map_err(|error| StartError::Gossip { address, error })?;
--- a/limiter/src/messages/attempt.rs
+++ b/limiter/src/messages/attempt.rs
@@ -1,4 +1,4 @@
-//! What the engine and the upstream exchange of an attempt at a server.
+//! What the engine and the upstream exchange about an attempt at a server.
 
 use std::rc::Rc;
 
@@ -12,36 +12,38 @@
 pub struct AttemptId {
     /// The request that is attempted.
     pub request: RequestId,
-    /// Number of the attempt, from 0.
+    /// Number of the attempt among those of its request, from 0.
     pub number: u32,
 }
 
-/// An attempt to be made.
+/// An attempt that is to be made.
 pub struct AttemptJob {
-    /// Which attempt.
+    /// The attempt.
     pub id: AttemptId,
-    /// At which server.
+    /// The server that was chosen for the attempt.
     pub server: ServerId,
-    /// What is forwarded.
+    /// The request that is forwarded.
     pub request: Rc<ForwardedRequest>,
-    /// When the client gives up.
+    /// The client abandons the request at this time.
     pub deadline: Millis,
-    /// When it may give up at the earliest, which is what the server is told.
+    /// The earliest time at which the client may abandon the request. The time left that the server is given
+    /// ends here.
     pub server_deadline: Millis,
-    /// The attempt must not begin later than this.
+    /// The attempt must not be sent to the server later than this.
     pub latest_start: Millis,
 }
 
 /// How an attempt ended.
 pub struct AttemptResult {
-    /// For the core.
+    /// The outcome that is reported to the core.
     pub outcome: Outcome,
     /// The body of a good response.
     pub body: Option<Bytes>,
-    /// The units that a good response says the request really cost.
+    /// The units that the request really cost, as a good response states.
     pub actual_units: Option<f64>,
 }
 
+/// The result of an attempt without a good response.
 impl From<Outcome> for AttemptResult {
     fn from(outcome: Outcome) -> AttemptResult {
         AttemptResult { outcome, body: None, actual_units: None }
--- a/limiter/src/messages/body.rs
+++ b/limiter/src/messages/body.rs
@@ -1,28 +1,30 @@
-//! Reading of a body of bounded length, of a request or of a response.
+//! Reads the body of a request or a response, up to a bounded length.
 
 use bytes::{Bytes, BytesMut};
 use http_body_util::BodyExt;
 use hyper::body::{Body, Incoming};
 
-/// Longest body taken in, of a request or of a response.
+/// Longest body of a request or a response, in bytes. Bounds the memory of one request.
 pub const MAX_BODY_BYTES: usize = 64 << 10;
 
 /// Why a body was not read to its end.
 #[derive(Debug, thiserror::Error)]
 pub enum BodyError {
-    /// It is longer than [`MAX_BODY_BYTES`].
+    /// The body is longer than [`MAX_BODY_BYTES`].
     #[error("the body is longer than {MAX_BODY_BYTES} bytes")]
     TooLong,
-    /// The connection failed before its end.
+    /// The connection failed before the end of the body.
     #[error("the body broke off: {0}")]
     Incomplete(hyper::Error),
 }
 
-/// Reads a body to its end. One that announces more than [`MAX_BODY_BYTES`] is not waited for; what follows of one that
-/// is too long is left in `body`.
+/// Reads a body to its end.
+///
+/// A body whose declared length is above [`MAX_BODY_BYTES`] is not read at all. What follows of a body that
+/// is too long stays unread in `body`.
 ///
 /// # Errors
-/// [`BodyError`] if it is too long or breaks off.
+/// [`BodyError`] if the body is too long or incomplete.
 pub async fn read_body(body: &mut Incoming) -> Result<Bytes, BodyError> {
     if body.size_hint().lower() > MAX_BODY_BYTES as u64 {
         return Err(BodyError::TooLong);
--- a/limiter/src/messages/mod.rs
+++ b/limiter/src/messages/mod.rs
@@ -1,4 +1,5 @@
-//! What the front end, the engine and the upstream exchange: requests, responses, attempts and bodies.
+//! The messages that the front end, the engine and the upstream exchange: requests, responses, attempts and
+//! bodies.
 
 pub mod attempt;
 pub mod body;
--- a/limiter/src/messages/request.rs
+++ b/limiter/src/messages/request.rs
@@ -1,4 +1,4 @@
-//! What the client side and the server side of the program share of a request: contents and header names.
+//! What the front end and the upstream share of a request: its content, its final response and header names.
 
 use bytes::Bytes;
 use hyper::header::{HeaderName, HeaderValue};
@@ -6,14 +6,14 @@
 
 use crate::observability::labels::ResponseOutcome;
 
-/// Identifies a request; at most one with the same value is pending.
+/// Header that identifies a request. At most one request with the same value is pending.
 pub const CORRELATION_ID: HeaderName = HeaderName::from_static("x-correlation-id");
-/// Marks the duplicates of one effect.
+/// Header that identifies the duplicates of one effect.
 pub const IDEMPOTENCY_KEY: HeaderName = HeaderName::from_static("idempotency-key");
-/// Seconds for which the sender will wait.
+/// Header with the time in seconds for which the sender will wait.
 pub const TIME_LEFT: HeaderName = HeaderName::from_static("x-time-left");
 
-/// What of a client's request is forwarded to a server unchanged.
+/// The part of a client's request that is forwarded to a server unchanged.
 pub struct ForwardedRequest {
     /// `GET` or `POST`.
     pub method: hyper::Method,
@@ -27,27 +27,27 @@
     pub body: Bytes,
 }
 
-impl FinalResponse {
-    /// Returns the outcome under which the response is counted.
-    pub fn outcome(&self) -> ResponseOutcome {
-        match self {
-            FinalResponse::Served(_) => ResponseOutcome::Served,
-            FinalResponse::Rejected { .. } => ResponseOutcome::Rejected,
-            FinalResponse::Failed => ResponseOutcome::Failed,
-        }
-    }
-}
-
 /// The final response to a client.
 #[derive(Debug)]
 pub enum FinalResponse {
     /// The body of a server's good response.
     Served(Bytes),
-    /// Not served; a retry is safe.
+    /// The request was not served, and a retry by the client is safe.
     Rejected {
-        /// When the client should retry; 0 for no advice.
+        /// Time after which the client should retry; 0 for no advice.
         retry_after_ms: Millis,
     },
-    /// An error that promises nothing.
+    /// An error, after which the request may or may not have been executed.
     Failed,
 }
+
+impl FinalResponse {
+    /// Returns the outcome under which the response is counted.
+    pub fn outcome(&self) -> ResponseOutcome {
+        match self {
+            FinalResponse::Served(_) => ResponseOutcome::Served,
+            FinalResponse::Rejected { .. } => ResponseOutcome::Rejected,
+            FinalResponse::Failed => ResponseOutcome::Failed,
+        }
+    }
+}
--- a/limiter/src/reload.rs
+++ b/limiter/src/reload.rs
@@ -1,4 +1,4 @@
-//! Reloads of the configuration. Only discovery's address can change while serving.
+//! Reloads of the configuration. Only the address of discovery can change while the program runs.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -9,22 +9,20 @@
 use crate::discovery::WatchTarget;
 use crate::runtime::signals::Signals;
 
-/// For so long a file is read again that cannot be read: calls fail for a moment, and files are seen half written. What a
-/// new discovery has counts as announced 4 s after the signal.
+/// Time for which an unreadable file is read again: system calls fail for a moment, and a file may be read
+/// while it is being written. What the new discovery knows counts as announced 4 s after the signal; the rest
+/// of that time is for the first watch.
 const MAX_RETRY_TIME: Duration = Duration::from_secs(3);
-/// Pause between two reads of the file.
+/// Pause between two attempts to read the file.
 const RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Reads the configuration again on each SIGHUP, forever; one that cannot be used changes nothing.
+/// Reads the configuration again on each SIGHUP. A configuration that cannot be used changes nothing. Never
+/// returns.
 pub async fn reload_on_hangup(signals: Rc<Signals>, watch_target: Rc<WatchTarget>) {
     loop {
         signals.reload_requested().await;
         match read_configuration().await {
-            Ok(new) if watch_target.change_to(new.discovery) => {
-                let address = new.discovery;
-                tracing::info!(%address, "configuration reloaded, discovery address changed");
-            }
-            Ok(_) => tracing::info!("configuration reloaded, nothing changed"),
+            Ok(config) => apply(&config, &watch_target),
             Err(error) => {
                 tracing::warn!(%error, "configuration reload failed, keeping current configuration");
             }
@@ -32,16 +30,26 @@
     }
 }
 
-/// The configuration as it is now, or within [`MAX_RETRY_TIME`].
+fn apply(config: &Config, watch_target: &WatchTarget) {
+    let address = config.discovery;
+    if watch_target.change_to(address) {
+        tracing::info!(%address, "configuration reloaded, discovery address changed");
+    } else {
+        tracing::info!("configuration reloaded, nothing changed");
+    }
+}
+
+/// Reads the configuration, for up to [`MAX_RETRY_TIME`] while the file cannot be read or parsed.
 async fn read_configuration() -> Result<Config, ConfigError> {
     let began = Instant::now();
     let mut is_retry = false;
     loop {
         match Config::reloaded() {
-            Err(error) if error.may_pass() && began.elapsed() < MAX_RETRY_TIME => {
-                if !std::mem::replace(&mut is_retry, true) {
+            Err(error) if error.is_transient() && began.elapsed() < MAX_RETRY_TIME => {
+                if !is_retry {
                     tracing::warn!(%error, "configuration reload failed, retrying");
                 }
+                is_retry = true;
                 sleep(RETRY_DELAY).await;
             }
             result => return result,
