--- a/limiter/tests/client_disconnects.rs
+++ b/limiter/tests/client_disconnects.rs
@@ -14,88 +14,88 @@
 
 /// A late response to a request whose client has left must not reach the next one on the connection.
 #[test]
-fn a_client_that_leaves_gets_nothing_and_harms_nobody() {
+fn a_late_response_to_a_disconnected_client_does_not_reach_other_clients() {
     let server = StubServer::new(|request, stream| {
         if request.body == "slow" {
             pause_ms(300);
         }
         write_ok(stream, &request.body)
     });
-    let node = NodeProcess::in_front_of(&server);
-    let leaving = node.send(&request_with_key("k1", "slow"));
+    let limiter = LimiterProcess::in_front_of(&server);
+    let leaving = limiter.send(&request_with_key("k1", "slow"));
     wait_for("the request to arrive", || server.num_received() == 1);
     drop(leaving);
     for n in 0..10 {
         let body = format!("fast{n}");
-        let response = node.request(&request_with_key(&format!("f{n}"), &body));
+        let response = limiter.request(&request_with_key(&format!("f{n}"), &body));
         assert_eq!((response.status, response.body), (200, body));
         pause_ms(50);
     }
 }
 
 /// A server appears, and the request that waited is not forwarded to it.
-fn assert_nothing_is_forwarded(node: &NodeProcess, case: &str) {
+fn assert_nothing_is_forwarded(limiter: &LimiterProcess, case: &str) {
     let server = StubServer::responding("fine");
-    node.discovery.send(&list_change(2, &[serving("s-1", &server)]));
-    node.wait_ready();
+    limiter.discovery.send(&list_change(2, &[serving("s-1", &server)]));
+    limiter.wait_ready();
     assert!(server.received().is_empty(), "{case}: forwarded for nobody");
 }
 
 /// The end of a client that leaves reaches its waiting request whatever stands before it: bytes behind the request,
 /// and more of them than are kept. Guards against forwarding what nobody waits for.
 #[test]
-fn a_client_that_leaves_is_noticed_behind_what_it_sent() {
+fn a_disconnect_is_detected_after_unread_bytes() {
     for (num_bytes, is_half_close) in [(0, false), (12, false), (12, true), (20_000, false), (300_000, true)]
     {
-        let (node, mut client) = start_with_waiting_request();
+        let (limiter, mut client) = start_with_waiting_request();
         let behind = vec![b'x'; num_bytes];
         // In two parts: what comes first is read by those who look for a whole head alone.
         let (first, second) = behind.split_at(num_bytes / 2);
         client.write_all(first).expect("write");
-        assert!(has_open_request(&node));
+        assert!(has_open_request(&limiter));
         client.write_all(second).expect("write");
         if is_half_close {
             client.shutdown(Shutdown::Write).expect("half a close");
         } else {
             drop(client);
         }
-        wait_disconnect_noticed(&node);
-        assert_nothing_is_forwarded(&node, &format!("{num_bytes} bytes behind"));
+        wait_until_disconnect_is_detected(&limiter);
+        assert_nothing_is_forwarded(&limiter, &format!("{num_bytes} bytes behind"));
     }
 }
 
 /// A client with a response that it has not read: its close is a reset.
-fn client_with_unread_response(node: &NodeProcess) -> TcpStream {
-    let client = node.send(READINESS_REQUEST);
+fn client_with_unread_response(limiter: &LimiterProcess) -> TcpStream {
+    let client = limiter.send(READINESS_REQUEST);
     uninterrupted(|| client.peek(&mut [0])).expect("a response that stays unread");
     client
 }
 
 #[test]
-fn a_client_that_resets_is_noticed() {
-    let node = NodeProcess::with_endpoints(&[], holding_requests);
-    let mut client = client_with_unread_response(&node);
-    client.write_all(patient_request("c-1").as_bytes()).expect("write");
-    wait_for("the request to be taken", || has_open_request(&node));
+fn a_reset_by_the_client_is_detected() {
+    let limiter = LimiterProcess::with_endpoints(&[], without_latency_limits);
+    let mut client = client_with_unread_response(&limiter);
+    client.write_all(request_with_long_timeout("c-1").as_bytes()).expect("write");
+    wait_for("the request to be taken", || has_open_request(&limiter));
     drop(client);
-    wait_disconnect_noticed(&node);
-    assert_nothing_is_forwarded(&node, "after a reset");
+    wait_until_disconnect_is_detected(&limiter);
+    assert_nothing_is_forwarded(&limiter, "after a reset");
 }
 
 /// A quota owner's grant comes after the client has left. Guards against units spent and servers called for nobody.
 #[test]
-fn a_late_grant_of_a_quota_owner_forwards_nothing() {
+fn a_late_grant_forwards_nothing_for_a_disconnected_client() {
     let run = |behaviour| {
         let server = StubServer::responding("fine");
-        let (node, owner) = start_member(&server, r#""Rate":0.001,"StoreSize":0.001"#);
-        let client = node.send(&request_of_fleet_customer("c-1", CUSTOMER_OF_OWNER));
+        let (limiter, owner) = start_member(&server, r#""Rate":0.001,"StoreSize":0.001"#);
+        let client = limiter.send(&request_of_fleet_customer("c-1", CUSTOMER_OF_OWNER));
         let quota_request = owner.receive_quota_request();
-        let status = race(&node, client, behaviour, || owner.send_grant(&quota_request));
+        let status = race(&limiter, client, behaviour, || owner.send_grant(&quota_request));
         wait_for("the grant to be read", || {
             owner.send_grant(&quota_request);
             owner.receive().is_some_and(|message| message.is_grant_reply())
         });
-        (status, shut_down_and_collect_ids(node, &[server]))
+        (status, shut_down_and_collect_ids(limiter, &[server]))
     };
     // A grant that a busy machine holds up until the limiter has given its owners up is another matter.
     wait_for("a grant in time", || run(Stays) == (Some(200), vec!["c-1".to_string()]));
@@ -107,22 +107,22 @@
 /// The quota owners are silent, and their time runs out after the client has left: the even share then lets requests
 /// through, as it does the next one.
 #[test]
-fn silent_quota_owners_forward_nothing_for_a_client_that_has_left() {
+fn unresponsive_quota_owners_forward_nothing_for_a_disconnected_client() {
     let mut ids = None;
     wait_for("a request that still waits when the limiter is stopped", || {
         let server = StubServer::responding("fine");
-        let (node, owner) = start_member(&server, r#""Rate":1000,"StoreSize":1000,"AtOnce":8"#);
-        let client = node.send(&request_of_fleet_customer("c-1", CUSTOMER_OF_OWNER));
+        let (limiter, owner) = start_member(&server, r#""Rate":1000,"StoreSize":1000,"AtOnce":8"#);
+        let client = limiter.send(&request_of_fleet_customer("c-1", CUSTOMER_OF_OWNER));
         owner.receive_quota_request();
-        node.signal("STOP");
+        limiter.signal("STOP");
         pause_ms(100);
         let waits = server.received().is_empty();
         drop(client);
         // Longer than all owners together are waited for.
         pause_ms(1200);
-        node.signal("CONT");
-        assert_eq!(node.request(&request_of_fleet_customer("c-2", "0000000000000001")).status, 200);
-        ids = waits.then(|| shut_down_and_collect_ids(node, &[server]));
+        limiter.signal("CONT");
+        assert_eq!(limiter.request(&request_of_fleet_customer("c-2", "0000000000000001")).status, 200);
+        ids = waits.then(|| shut_down_and_collect_ids(limiter, &[server]));
         waits
     });
     assert_eq!(ids.as_deref(), Some(&["c-2".to_string()][..]));
@@ -146,7 +146,7 @@
 
 /// An attempt ends without a response, by a reset or a close: where the client stays, there is a retry.
 #[test]
-fn a_broken_attempt_is_not_retried_for_a_client_that_has_left() {
+fn a_failed_attempt_is_not_retried_for_a_disconnected_client() {
     for behaviour in [Stays, LeavesNoticed, LeavesUnnoticed] {
         for is_reset in [false, true] {
             let (gate, num_attempts) = (Gate::default(), AtomicUsize::new(0));
@@ -161,11 +161,11 @@
                 }
                 false
             };
-            let InFlightRequest { servers, node, client } =
-                InFlightRequest::start(2, respond, &patient_request("c-1"), holding_requests);
-            let status = race(&node, client, behaviour, || gate.open());
-            assert_eq!(node.request(&patient_request("c-2")).status, 200);
-            let ids = shut_down_and_collect_ids(node, &servers);
+            let InFlightRequest { servers, limiter, client } =
+                InFlightRequest::start(2, respond, &request_with_long_timeout("c-1"), without_latency_limits);
+            let status = race(&limiter, client, behaviour, || gate.open());
+            assert_eq!(limiter.request(&request_with_long_timeout("c-2")).status, 200);
+            let ids = shut_down_and_collect_ids(limiter, &servers);
             assert_retried_only_if_client_stays(behaviour, status, &ids, &format!("reset: {is_reset}"));
         }
     }
@@ -174,7 +174,7 @@
 /// A server says nothing; after 0.4 of the latency objective its attempt is cancelled and retried at the other one,
 /// as the next client's is, unless the client has left.
 #[test]
-fn an_unresponsive_server_is_not_retried_for_a_client_that_has_left() {
+fn a_timed_out_attempt_is_not_retried_for_a_disconnected_client() {
     for behaviour in [LeavesNoticed, LeavesUnnoticed] {
         let seen_ids = Mutex::new(HashSet::new());
         let respond = move |request: &HttpMessage, stream: &mut TcpStream| {
@@ -186,19 +186,23 @@
         let alter = |configuration: Configuration| {
             configuration.with_latency_objective_ms(5000).with_rejecting_plan()
         };
-        let InFlightRequest { servers, node, client } =
-            InFlightRequest::start(2, respond, &patient_request("c-1"), alter);
+        let InFlightRequest { servers, limiter, client } =
+            InFlightRequest::start(2, respond, &request_with_long_timeout("c-1"), alter);
         // Where the limiter is stopped, until the attempt's time is up.
         let stall = if behaviour == LeavesUnnoticed { 2300 } else { 0 };
-        race(&node, client, behaviour, || pause_ms(stall));
-        assert_eq!(node.request(&patient_request("c-2")).status, 200, "later than the first one's time");
-        assert_eq!(shut_down_and_collect_ids(node, &servers), ["c-1", "c-2", "c-2"], "{behaviour:?}");
+        race(&limiter, client, behaviour, || pause_ms(stall));
+        assert_eq!(
+            limiter.request(&request_with_long_timeout("c-2")).status,
+            200,
+            "later than the first one's time"
+        );
+        assert_eq!(shut_down_and_collect_ids(limiter, &servers), ["c-1", "c-2", "c-2"], "{behaviour:?}");
     }
 }
 
 /// A rejected request is queued, as no server takes requests; one does again after its client has left.
 #[test]
-fn a_queued_request_is_not_forwarded_for_a_client_that_has_left() {
+fn a_queued_request_is_not_forwarded_for_a_disconnected_client() {
     for behaviour in [Stays, LeavesNoticed, LeavesUnnoticed] {
         let (gate, num_attempts) = (Gate::default(), AtomicUsize::new(0));
         let rejects_at = gate.clone();
@@ -209,19 +213,19 @@
             rejects_at.wait();
             write_rejection(stream)
         };
-        let InFlightRequest { servers, node, client } =
-            InFlightRequest::start(1, respond, &patient_request("c-1"), holding_requests);
+        let InFlightRequest { servers, limiter, client } =
+            InFlightRequest::start(1, respond, &request_with_long_timeout("c-1"), without_latency_limits);
         let server = &servers[0];
-        node.discovery.send(&list_change(2, &[draining_at("s-1", server.addr)]));
-        node.wait_log("state=draining");
+        limiter.discovery.send(&list_change(2, &[draining_at("s-1", server.addr)]));
+        limiter.wait_log("state=draining");
         gate.open();
         wait_for("the connection to one that drains to be closed", || server.num_closed() == 1);
-        assert!(has_open_request(&node), "it is queued");
-        let server_returns = || node.discovery.send(&list_change(3, &[serving("s-1", server)]));
-        let status = race(&node, client, behaviour, server_returns);
-        node.wait_ready();
-        assert_eq!(node.request(&patient_request("c-2")).status, 200);
-        let ids = shut_down_and_collect_ids(node, &servers);
+        assert!(has_open_request(&limiter), "it is queued");
+        let server_returns = || limiter.discovery.send(&list_change(3, &[serving("s-1", server)]));
+        let status = race(&limiter, client, behaviour, server_returns);
+        limiter.wait_ready();
+        assert_eq!(limiter.request(&request_with_long_timeout("c-2")).status, 200);
+        let ids = shut_down_and_collect_ids(limiter, &servers);
         assert_retried_only_if_client_stays(behaviour, status, &ids, "");
     }
 }
@@ -229,7 +233,7 @@
 /// Two requests are pipelined on one connection, and its client leaves as the server rejects the first, or answers
 /// it, in either order. Guards against another attempt, and against the second request being sent.
 #[test]
-fn a_pipelined_request_is_not_forwarded_for_a_client_that_has_left() {
+fn a_pipelined_request_is_not_forwarded_for_a_disconnected_client() {
     for (behaviour, leaves_first) in
         [(LeavesNoticed, true), (LeavesUnnoticed, true), (LeavesUnnoticed, false)]
     {
@@ -245,22 +249,22 @@
                 written.open();
                 is_open
             };
-            let pipelined = patient_request("c-1") + &patient_request("c-1b");
-            let InFlightRequest { servers, node, client } =
-                InFlightRequest::start(1, respond, &pipelined, holding_requests);
+            let pipelined = request_with_long_timeout("c-1") + &request_with_long_timeout("c-1b");
+            let InFlightRequest { servers, limiter, client } =
+                InFlightRequest::start(1, respond, &pipelined, without_latency_limits);
             let server_responds = || {
                 gate.open();
                 response_written.wait();
             };
             if leaves_first {
-                race(&node, client, behaviour, server_responds);
+                race(&limiter, client, behaviour, server_responds);
             } else {
-                node.signal("STOP");
+                limiter.signal("STOP");
                 server_responds();
-                race(&node, client, behaviour, || ());
+                race(&limiter, client, behaviour, || ());
             }
-            assert_eq!(node.request(&patient_request("c-2")).status, 200);
-            let ids = shut_down_and_collect_ids(node, &servers);
+            assert_eq!(limiter.request(&request_with_long_timeout("c-2")).status, 200);
+            let ids = shut_down_and_collect_ids(limiter, &servers);
             assert_eq!(ids, ["c-1", "c-2"], "{behaviour:?} {leaves_first} {is_rejected}");
         }
     }
@@ -279,12 +283,12 @@
     fn request(&self, n: usize) -> String {
         match self.body {
             Some(length) => request_with_key(&format!("gone{n}"), &"x".repeat(length)),
-            None => patient_request(&format!("c-gone{n}")),
+            None => request_with_long_timeout(&format!("c-gone{n}")),
         }
     }
 
     /// A server that has had `num_kept_connections` requests at once, and the program in front of it.
-    fn start(&self) -> (StubServer, NodeProcess) {
+    fn start(&self) -> (StubServer, LimiterProcess) {
         let (num_kept, num_warm) = (self.num_kept_connections, AtomicUsize::new(0));
         let server = StubServer::new(move |request, stream| {
             if request.correlation_id().starts_with("c-warm") {
@@ -293,22 +297,23 @@
             }
             write_ok(stream, "fine")
         });
-        let node = NodeProcess::with_server(&server, holding_requests);
+        let limiter = LimiterProcess::with_server(&server, without_latency_limits);
         let mut clients: Vec<TcpStream> =
-            (0..num_kept).map(|n| node.send(&patient_request(&format!("c-warm{n}")))).collect();
+            (0..num_kept).map(|n| limiter.send(&request_with_long_timeout(&format!("c-warm{n}")))).collect();
         clients.iter_mut().for_each(|client| assert_eq!(read_response(client).status, 200));
-        (server, node)
+        (server, limiter)
     }
 
     /// The ids of the requests that were forwarded though their clients have left.
     fn forwarded_ids(&self) -> Vec<String> {
-        let (server, node) = self.start();
-        let resetting: Vec<_> = (75..100).map(|n| (n, client_with_unread_response(&node))).collect();
-        node.signal("STOP");
+        let (server, limiter) = self.start();
+        let resetting: Vec<_> = (75..100).map(|n| (n, client_with_unread_response(&limiter))).collect();
+        limiter.signal("STOP");
         let mut half_closed = Vec::new();
         for n in 0..75 {
-            let behind = if n % 3 == 1 { patient_request(&format!("c-gone{n}b")) } else { String::new() };
-            let client = node.send(&(self.request(n) + &behind));
+            let behind =
+                if n % 3 == 1 { request_with_long_timeout(&format!("c-gone{n}b")) } else { String::new() };
+            let client = limiter.send(&(self.request(n) + &behind));
             if n % 3 != 2 {
                 client.shutdown(Shutdown::Write).expect("half a close");
                 half_closed.push(client);
@@ -318,12 +323,12 @@
             client.write_all(self.request(n).as_bytes()).expect("write");
         }
         pause_ms(200);
-        node.signal("CONT");
+        limiter.signal("CONT");
         for mut client in half_closed {
             read_until_closed(&mut client, Instant::now());
         }
-        assert_eq!(node.request(&patient_request("c-2")).status, 200);
-        let mut ids = shut_down_and_collect_ids(node, &[server]);
+        assert_eq!(limiter.request(&request_with_long_timeout("c-2")).status, 200);
+        let mut ids = shut_down_and_collect_ids(limiter, &[server]);
         ids.retain(|id| id.contains("gone"));
         ids
     }
@@ -332,7 +337,7 @@
 /// The limiter finds whole requests with their ends behind them: closes, half closes, resets, with and without bytes
 /// in between; with connections to the server at hand and without.
 #[test]
-fn a_burst_of_leaving_clients_forwards_nothing() {
+fn a_burst_of_disconnecting_clients_forwards_nothing() {
     let bursts = [(None, 0), (None, 8), (Some(5), 0), (Some(5), 8), (Some(40_000), 8)];
     let forwarded: Vec<_> = bursts
         .map(|(body, num_kept_connections)| LeavingBurst { body, num_kept_connections })
--- a/limiter/tests/connection_pool.rs
+++ b/limiter/tests/connection_pool.rs
@@ -20,35 +20,35 @@
         false
     });
     // One attempt only: a second one would hide that the first went to a closed connection.
-    let node = NodeProcess::with_server(&server, |configuration| configuration.with_max_attempts(1));
+    let limiter = LimiterProcess::with_server(&server, |configuration| configuration.with_max_attempts(1));
     for n in 1..=5 {
-        assert_eq!(node.request(&request_with_key(&format!("k{n}"), "x")).status, 200);
+        assert_eq!(limiter.request(&request_with_key(&format!("k{n}"), "x")).status, 200);
         assert_eq!(server.num_received(), n, "each request came once");
         wait_for("the server to close", || server.num_closed() == n);
     }
 }
 
 #[test]
-fn connections_are_kept_and_dropped_before_the_idle_time_of_servers() {
+fn connections_are_reused_and_closed_before_the_idle_timeout_of_servers() {
     let server = StubServer::responding("kept");
-    let node = NodeProcess::with_server(&server, |configuration| {
+    let limiter = LimiterProcess::with_server(&server, |configuration| {
         configuration.replace(r#""DialTimeoutMs":250"#, r#""DialTimeoutMs":250,"IdleCloseMs":3000"#)
     });
     for _ in 0..5 {
-        assert_eq!(node.request(&idempotent_request()).status, 200);
+        assert_eq!(limiter.request(&idempotent_request()).status, 200);
         // A connection rests for a moment before it is used again.
         pause_ms(50);
     }
     assert_eq!(server.num_connections(), 1, "one connection carries requests one after another");
     wait_for("the idle connection to be dropped", || server.num_closed() == 1);
-    assert_eq!(node.request(&idempotent_request()).status, 200);
+    assert_eq!(limiter.request(&idempotent_request()).status, 200);
     assert_eq!(server.num_connections(), 2);
 }
 
 /// Guards against a server's second copy of a response, a moment behind the first, being given to the next request on
 /// the connection.
 #[test]
-fn what_comes_behind_a_response_is_never_the_next_one() {
+fn bytes_after_a_response_are_never_used_as_the_next_response() {
     let server = StubServer::new(|request, stream| {
         let began = Instant::now();
         let mut is_open = write_ok(stream, &request.body);
@@ -59,8 +59,8 @@
         }
         is_open
     });
-    let node = NodeProcess::in_front_of(&server);
-    let mut client = node.connect();
+    let limiter = LimiterProcess::in_front_of(&server);
+    let mut client = limiter.connect();
     for n in 0..50 {
         let body = format!("body {n}");
         assert_eq!(exchange(&mut client, &request_with_key(&format!("k{n}"), &body)).body, body);
@@ -71,14 +71,14 @@
 /// after its server has gone is not kept.
 #[test]
 fn a_new_server_does_not_inherit_connections() {
-    let InFlightRequest { servers, node, mut client } = InFlightRequest::at_slow_server();
+    let InFlightRequest { servers, limiter, mut client } = InFlightRequest::at_slow_server();
     let server = &servers[0];
     let change = [removed_at("s-1", server.addr), serving("s-2", server)];
-    node.discovery.send(&list_change(2, &change));
-    node.wait_log("state=removed");
+    limiter.discovery.send(&list_change(2, &change));
+    limiter.wait_log("state=removed");
     assert_eq!(read_response(&mut client).status, 200);
     pause_ms(50);
-    assert_eq!(node.request(&idempotent_request()).status, 200);
+    assert_eq!(limiter.request(&idempotent_request()).status, 200);
     assert_eq!(server.num_connections(), 2);
     wait_for("the old server's connection to be closed", || server.num_closed() == 1);
 }
--- a/limiter/tests/time_left.rs
+++ b/limiter/tests/deadline_propagation.rs
@@ -32,11 +32,11 @@
 
 /// The second request comes together with the first, and waits for the end of that.
 #[test]
-fn a_request_behind_an_open_one_counts_from_its_arrival() {
+fn the_deadline_of_a_pipelined_request_counts_from_its_arrival() {
     let server = slow_at_first();
-    let node = NodeProcess::with_server(&server, Configuration::without_latency_objective);
+    let limiter = LimiterProcess::with_server(&server, Configuration::without_latency_objective);
     let second = idempotent_request_with_id("second").replace("Left: 3.0", "Left: 2.0");
-    let mut client = node.send(&(idempotent_request_with_id("first") + &second));
+    let mut client = limiter.send(&(idempotent_request_with_id("first") + &second));
     assert_eq!(read_response(&mut client).status, 200);
     assert_eq!(read_response(&mut client).status, 200);
     assert_told_at_most(&server, "second", 0.5);
@@ -44,10 +44,10 @@
 
 /// The same where it comes a moment after the first one, so that it is read ahead.
 #[test]
-fn a_request_that_was_read_ahead_counts_from_its_arrival() {
+fn the_deadline_of_a_request_that_was_read_ahead_counts_from_its_arrival() {
     let server = slow_at_first();
-    let node = NodeProcess::with_server(&server, Configuration::without_latency_objective);
-    let mut client = node.send(&idempotent_request_with_id("first"));
+    let limiter = LimiterProcess::with_server(&server, Configuration::without_latency_objective);
+    let mut client = limiter.send(&idempotent_request_with_id("first"));
     wait_for("the first request", || server.num_received() == 1);
     let second = idempotent_request_with_id("second").replace("Left: 3.0", "Left: 2.0");
     client.write_all(second.as_bytes()).expect("write");
@@ -59,11 +59,11 @@
 
 /// A request that has no time left when its turn comes is answered and goes to no server.
 #[test]
-fn a_request_that_has_waited_out_its_time_is_not_forwarded() {
+fn a_request_that_expired_while_waiting_is_not_forwarded() {
     let server = slow_at_first();
-    let node = NodeProcess::with_server(&server, Configuration::without_latency_objective);
+    let limiter = LimiterProcess::with_server(&server, Configuration::without_latency_objective);
     let second = idempotent_request_with_id("second").replace("Left: 3.0", "Left: 1.0");
-    let mut client = node.send(&(idempotent_request_with_id("first") + &second));
+    let mut client = limiter.send(&(idempotent_request_with_id("first") + &second));
     assert_eq!(read_response(&mut client).status, 200);
     assert_eq!(read_response(&mut client).status, 429);
     assert_eq!(server.num_received_with_id("second"), 0);
@@ -71,16 +71,16 @@
 
 /// The process gets no processor time while the request waits in the kernel.
 #[test]
-fn a_request_that_came_in_a_stall_counts_from_before_it() {
+fn the_deadline_of_a_request_that_arrived_during_a_stall_counts_from_before_the_stall() {
     let server = slow_at_first();
-    let node = NodeProcess::with_server(&server, Configuration::without_latency_objective);
-    let mut client = node.connect();
+    let limiter = LimiterProcess::with_server(&server, Configuration::without_latency_objective);
+    let mut client = limiter.connect();
     assert_eq!(exchange(&mut client, &idempotent_request_with_id("warm-up")).status, 200);
-    node.signal("STOP");
+    limiter.signal("STOP");
     let waiting = idempotent_request_with_id("waiting").replace("Left: 3.0", "Left: 2.0");
     client.write_all(waiting.as_bytes()).expect("write");
     pause_ms(1000);
-    node.signal("CONT");
+    limiter.signal("CONT");
     assert_eq!(read_response(&mut client).status, 200);
     assert_told_at_most(&server, "waiting", 1.0);
 }
--- a/limiter/tests/http_front_end.rs
+++ b/limiter/tests/http_front_end.rs
@@ -11,11 +11,11 @@
 use stubs::*;
 
 #[test]
-fn a_server_gets_the_request_and_the_client_its_body_unchanged() {
+fn request_and_response_bodies_are_forwarded_unchanged() {
     let body: String = ('a'..='z').cycle().take(50_000).collect();
     let server = StubServer::responding(&body);
-    let node = NodeProcess::in_front_of(&server);
-    let response = node.request(&request_with_key_and_headers("k1", "X-Ignored: 1\r\n", "hello"));
+    let limiter = LimiterProcess::in_front_of(&server);
+    let response = limiter.request(&request_with_key_and_headers("k1", "X-Ignored: 1\r\n", "hello"));
     assert_eq!((response.status, response.body.as_str()), (200, body.as_str()));
     let received = server.received();
     assert_eq!(received.len(), 1);
@@ -36,9 +36,9 @@
 
 /// Guards against bad input reaching the decisions or a server, or ending the program.
 #[test]
-fn bad_requests_are_answered_at_once_and_go_nowhere() {
+fn invalid_requests_are_rejected_immediately_and_not_forwarded() {
     let server = StubServer::responding("fine");
-    let node = NodeProcess::in_front_of(&server);
+    let limiter = LimiterProcess::in_front_of(&server);
     let good = idempotent_request();
     let without = |name: &str| without_header(&good, name);
     let too_long = "x".repeat(70_000);
@@ -65,10 +65,10 @@
         (400, "GARBAGE\r\n\r\n".to_string()),
     ] {
         let began = Instant::now();
-        assert_eq!(node.request(&request).status, status, "{request:.300}");
+        assert_eq!(limiter.request(&request).status, status, "{request:.300}");
         assert!(began.elapsed() < Duration::from_secs(3), "{request:.300}");
     }
-    assert_eq!(node.request(&good).status, 200);
+    assert_eq!(limiter.request(&good).status, 200);
     assert_eq!(server.num_received(), 1, "only the good one reached the server");
 }
 
@@ -77,7 +77,7 @@
 #[test]
 fn ambiguous_framing_is_rejected_and_the_connection_closed() {
     let server = StubServer::responding("fine");
-    let node = NodeProcess::in_front_of(&server);
+    let limiter = LimiterProcess::in_front_of(&server);
     let hidden = idempotent_request_with_id("c-hidden");
     let (chunked, length) = ("Transfer-Encoding: chunked\r\n", "Content-Length: 5\r\n");
     for framing in [
@@ -92,7 +92,7 @@
         "Content-Length: 99999999999999999999\r\n".to_string(),
     ] {
         let head = request_with_key("k", "").replace("Content-Length: 0\r\n", &framing);
-        let mut client = node.connect();
+        let mut client = limiter.connect();
         let began = Instant::now();
         // The rejection may close the connection before all of it is written.
         let _ = client.write_all(format!("{head}0\r\n\r\n{hidden}").as_bytes());
@@ -105,25 +105,25 @@
 
 /// Two requests with one id could not be told apart at the servers: the second is rejected while the first is open.
 #[test]
-fn the_id_of_an_open_request_is_not_taken_twice() {
-    let InFlightRequest { servers, node, client: mut first } = InFlightRequest::at_slow_server();
+fn the_correlation_id_of_a_pending_request_is_rejected() {
+    let InFlightRequest { servers, limiter, client: mut first } = InFlightRequest::at_slow_server();
     let of_other_customer = idempotent_request().replace(DEFAULT_CUSTOMER, "00000000b4d65522");
-    assert_eq!(node.request(&of_other_customer).status, 409);
+    assert_eq!(limiter.request(&of_other_customer).status, 409);
     assert_eq!(read_response(&mut first).status, 200);
     assert_eq!(servers[0].num_received(), 1);
-    assert_eq!(node.request(&idempotent_request()).status, 200, "free again once it is answered");
+    assert_eq!(limiter.request(&idempotent_request()).status, 200, "free again once it is answered");
 }
 
 /// What comes behind an open request is the next one: read ahead, it is neither lost nor reordered.
 #[test]
-fn pipelined_requests_are_answered_in_their_order() {
+fn pipelined_requests_are_answered_in_order() {
     let server = StubServer::echoing();
-    let (node, mut client) = start_with_waiting_request();
+    let (limiter, mut client) = start_with_waiting_request();
     for n in 0..20 {
         let request = request_with_key(&format!("k{n}"), &format!("body {n}"));
         client.write_all(request.as_bytes()).expect("write");
     }
-    node.discovery.send(&list_change(2, &[serving("s-1", &server)]));
+    limiter.discovery.send(&list_change(2, &[serving("s-1", &server)]));
     assert_eq!(read_response(&mut client).status, 200);
     for n in 0..20 {
         assert_eq!(read_response(&mut client).body, format!("body {n}"));
@@ -133,10 +133,10 @@
 /// Guards against connections held by silence, by half a request or by one that trickles: each has an error or a
 /// close within 3 s of its first byte. One that has been answered may stay.
 #[test]
-fn connections_with_half_a_request_or_none_end_soon() {
+fn connections_without_a_complete_request_time_out() {
     let server = StubServer::responding("fine");
-    let node = NodeProcess::in_front_of(&server);
-    let mut keep_alive = node.connect();
+    let limiter = LimiterProcess::in_front_of(&server);
+    let mut keep_alive = limiter.connect();
     assert_eq!(exchange(&mut keep_alive, &idempotent_request()).status, 200);
     let half_body = request_with_key("k", "hello").replace("hello", "he");
     let half_behind_a_good_one = idempotent_request() + "GET /look/00";
@@ -144,7 +144,7 @@
     let mut incomplete: Vec<(TcpStream, Instant)> = parts
         .iter()
         .map(|part| {
-            let mut client = node.send(part);
+            let mut client = limiter.send(part);
             if part.contains("\r\n\r\nGET") {
                 assert_eq!(read_response(&mut client).status, 200);
                 client.write_all(b"0").expect("write");
@@ -152,7 +152,7 @@
             (client, Instant::now())
         })
         .collect();
-    let mut trickling = node.connect();
+    let mut trickling = limiter.connect();
     let began = Instant::now();
     while trickling.write_all(b"x").is_ok() {
         assert!(began.elapsed() < Duration::from_secs(6), "trickled bytes must not extend the time");
@@ -167,42 +167,42 @@
 
 /// Idle connections, half requests and garbage beyond the bound must not shut others out.
 #[test]
-fn idle_and_slow_clients_hurt_only_themselves() {
+fn idle_and_slow_clients_do_not_affect_other_clients() {
     let server = StubServer::responding("fine");
-    let node = NodeProcess::with_server(&server, |configuration| configuration.with_descriptors(100));
+    let limiter = LimiterProcess::with_server(&server, |configuration| configuration.with_descriptors(100));
     let mut held = Vec::new();
     for n in 0..120 {
-        let mut client = node.connect();
+        let mut client = limiter.connect();
         let text: &[u8] = [&b""[..], b"GET /look/00", b"\0\xff\xfe\r\n"][n % 3];
         let _ = client.write_all(text);
         held.push(client);
     }
     for _ in 0..5 {
-        assert_eq!(node.request(&idempotent_request()).status, 200);
+        assert_eq!(limiter.request(&idempotent_request()).status, 200);
     }
 }
 
 /// Fewer descriptors than the configuration promises: accepting fails, is tried again, and service goes on.
 #[test]
-fn service_resumes_after_a_lack_of_descriptors() {
+fn service_resumes_after_descriptor_exhaustion() {
     let server = StubServer::responding("fine");
-    let node = NodeProcess::with_descriptor_limit(&server, 24);
-    let held: Vec<TcpStream> = (0..60).map(|_| node.connect()).collect();
-    node.wait_log("accept failed error=");
+    let limiter = LimiterProcess::with_descriptor_limit(&server, 24);
+    let held: Vec<TcpStream> = (0..60).map(|_| limiter.connect()).collect();
+    limiter.wait_log("accept failed error=");
     drop(held);
-    wait_for("service", || node.request(&idempotent_request()).status == 200);
+    wait_for("service", || limiter.request(&idempotent_request()).status == 200);
 }
 
 /// A client whose request comes byte by byte, in less than the time that it has, is served, and those beside it are.
 #[test]
-fn a_slow_client_is_served_and_holds_up_nobody() {
+fn a_slow_client_is_served_and_does_not_delay_other_clients() {
     let server = StubServer::echoing();
-    let node = NodeProcess::in_front_of(&server);
-    let mut neighbour = node.connect();
+    let limiter = LimiterProcess::in_front_of(&server);
+    let mut neighbour = limiter.connect();
     for (request, body) in [(idempotent_request(), ""), (request_with_key("slow", "slow"), "slow")] {
         // One that a busy machine has made too slow is sent once more.
         wait_for("a request in time", || {
-            let mut client = node.connect();
+            let mut client = limiter.connect();
             client.set_nodelay(true).expect("no delay");
             let (began, mut is_complete) = (Instant::now(), true);
             for (n, byte) in request.bytes().enumerate() {
@@ -226,7 +226,7 @@
 /// A client sends many requests at once and reads afterwards: what was read of its connection is owed an answer, though
 /// it is more than a usual connection holds.
 #[test]
-fn many_requests_sent_at_once_are_all_answered() {
+fn all_pipelined_requests_of_a_large_batch_are_answered() {
     const REQUESTS: usize = 500;
     let is_first = AtomicBool::new(true);
     let server = StubServer::new(move |_, stream| {
@@ -236,10 +236,10 @@
         }
         write_ok(stream, "fine")
     });
-    let node = NodeProcess::with_server(&server, holding_requests);
-    let requests: String = (0..REQUESTS).map(|n| patient_request(&format!("c-{n}"))).collect();
+    let limiter = LimiterProcess::with_server(&server, without_latency_limits);
+    let requests: String = (0..REQUESTS).map(|n| request_with_long_timeout(&format!("c-{n}"))).collect();
     assert!(requests.len() > 64 << 10, "{} bytes", requests.len());
-    let mut client = node.send(&requests);
+    let mut client = limiter.send(&requests);
     for n in 0..REQUESTS {
         assert_eq!(read_response(&mut client).status, 200, "request {n}");
     }
--- a/limiter/tests/malformed_responses.rs
+++ b/limiter/tests/malformed_responses.rs
@@ -31,8 +31,8 @@
 
 /// The final response's status; the next response on the connection is the next request's, so that there was one
 /// alone.
-fn status_of_only_response(node: &NodeProcess, request: &str) -> u16 {
-    let mut client = node.connect();
+fn status_of_only_response(limiter: &LimiterProcess, request: &str) -> u16 {
+    let mut client = limiter.connect();
     let status = exchange(&mut client, request).status;
     let next = exchange(&mut client, &request_with_key("fine", "fine"));
     assert_eq!((next.status, next.body.as_str()), (200, "fine"));
@@ -65,10 +65,10 @@
             }
             false
         });
-        let node = NodeProcess::in_front_of(&server);
-        assert_eq!(node.request(&request_with_key("k", "x")).status, 502, "{text:?}");
+        let limiter = LimiterProcess::in_front_of(&server);
+        assert_eq!(limiter.request(&request_with_key("k", "x")).status, 502, "{text:?}");
         assert_retried_with_key(&attempts_of_x(&server));
-        assert_eq!(node.request(&idempotent_request()).status, 429, "{text:?}");
+        assert_eq!(limiter.request(&idempotent_request()).status, 429, "{text:?}");
     }
 }
 
@@ -83,7 +83,7 @@
 
 /// A status line or a head that stops halfway says nothing of what ran, also where it began as a good one.
 #[test]
-fn half_a_head_is_no_response() {
+fn an_incomplete_response_head_is_not_a_response() {
     for text in [HALF_STATUS_LINE, HALF_HEADER] {
         assert_broken_response_is_not_served(text, End::Close);
         assert_broken_response_is_not_served(text, End::Reset);
@@ -92,7 +92,7 @@
 
 /// Guards against a part of a body passed on as served, and against a broken exchange taken for never run.
 #[test]
-fn a_response_that_is_cut_or_too_long_is_not_served() {
+fn a_truncated_or_oversized_response_is_not_served() {
     let too_long = format!("HTTP/1.1 200 OK\r\nContent-Length: 70000\r\n\r\n{}", "x".repeat(70_000));
     for text in ["", "HTTP/1.1 200", WITH_LENGTH, CHUNKED, &too_long] {
         let text = text.to_string();
@@ -100,15 +100,15 @@
             let _ = stream.write_all(text.as_bytes());
             false
         });
-        let node = NodeProcess::in_front_of(&server);
-        assert_eq!(node.request(&request_with_key("k", "x")).status, 502);
+        let limiter = LimiterProcess::in_front_of(&server);
+        assert_eq!(limiter.request(&request_with_key("k", "x")).status, 502);
         assert_retried_with_key(&server.received());
     }
 }
 
 /// The other side of it: a clean end is the end of a response without length, and all of it is served.
 #[test]
-fn a_response_without_length_that_ends_cleanly_is_served_whole() {
+fn a_response_without_length_that_ends_gracefully_is_served() {
     for length in [0, 4, 50_000] {
         let body = "x".repeat(length);
         let text = format!("HTTP/1.1 200 OK\r\n\r\n{body}");
@@ -119,8 +119,8 @@
             let _ = stream.write_all(second.as_bytes());
             false
         });
-        let node = NodeProcess::in_front_of(&server);
-        let response = node.request(&request_with_key("k", "x"));
+        let limiter = LimiterProcess::in_front_of(&server);
+        let response = limiter.request(&request_with_key("k", "x"));
         assert_eq!((response.status, response.body), (200, body));
         assert_eq!(server.num_received(), 1);
     }
@@ -129,7 +129,7 @@
 /// A response that trickles and never ends is given up at the request's latency objective: one final response, and
 /// the connections to the server are closed.
 #[test]
-fn a_response_that_never_ends_is_given_up() {
+fn a_response_that_never_ends_times_out() {
     let server = StubServer::new(|request, stream| {
         if request.body == "fine" {
             return write_ok(stream, "fine");
@@ -140,9 +140,9 @@
         }
         false
     });
-    let node = NodeProcess::in_front_of(&server);
-    assert_eq!(status_of_only_response(&node, &request_with_key("k", "x")), 502);
-    assert_eq!(status_of_only_response(&node, &idempotent_request()), 429);
+    let limiter = LimiterProcess::in_front_of(&server);
+    assert_eq!(status_of_only_response(&limiter, &request_with_key("k", "x")), 502);
+    assert_eq!(status_of_only_response(&limiter, &idempotent_request()), 429);
     assert_retried_with_key(&attempts_of_x(&server));
     wait_connections_closed(&server);
 }
@@ -150,7 +150,7 @@
 /// Between two requests a server writes half a status line on a kept connection, which the next response would be
 /// taken to go on: the next request goes on another connection. One attempt each, as a retry would hide it.
 #[test]
-fn a_kept_connection_with_half_a_status_line_is_not_used() {
+fn a_pooled_connection_with_an_incomplete_status_line_is_not_reused() {
     let num_half_lines = Arc::new(AtomicUsize::new(0));
     let written = num_half_lines.clone();
     let server = StubServer::new(move |request, stream| {
@@ -161,19 +161,19 @@
         written.fetch_add(1, SeqCst);
         is_open
     });
-    let node = NodeProcess::with_server(&server, |configuration| configuration.with_max_attempts(1));
+    let limiter = LimiterProcess::with_server(&server, |configuration| configuration.with_max_attempts(1));
     for n in 1..=6 {
         let body = format!("body {n}");
-        let mut client = node.send(&request_with_key(&format!("k{n}"), &body));
+        let mut client = limiter.send(&request_with_key(&format!("k{n}"), &body));
         if n % 2 == 0 {
-            node.signal("CONT");
+            limiter.signal("CONT");
         }
         let response = read_response(&mut client);
         assert_eq!((response.status, response.body), (200, body));
         assert_eq!((server.num_received(), server.num_connections()), (n, n));
         if n % 2 == 1 {
             // It finds the half line and the next request at once.
-            node.signal("STOP");
+            limiter.signal("STOP");
         }
         wait_for("the half line", || num_half_lines.load(SeqCst) == n);
     }
@@ -182,7 +182,7 @@
 /// Servers that write without end, wherever they can: the connection ends, memory stays within a quarter of what the
 /// configuration allows, and the next request is served.
 #[test]
-fn an_endless_response_is_cut_and_costs_little_memory() {
+fn an_endless_response_is_aborted_with_bounded_memory() {
     const MAX_MEMORY_KB: u64 = 48 << 10;
     let (head, many) = ("HTTP/1.1 200 OK\r\n", "x".repeat(1 << 16));
     for (begin, repeated) in [
@@ -202,10 +202,10 @@
             while stream.write_all(repeated.as_bytes()).is_ok() {}
             false
         });
-        let node = NodeProcess::in_front_of(&server);
-        assert_eq!(status_of_only_response(&node, &request_with_key("k", "x")), 502, "{case}");
+        let limiter = LimiterProcess::in_front_of(&server);
+        assert_eq!(status_of_only_response(&limiter, &request_with_key("k", "x")), 502, "{case}");
         assert_retried_with_key(&attempts_of_x(&server));
-        let memory_kb = node.max_memory_kb();
+        let memory_kb = limiter.max_memory_kb();
         assert!(memory_kb < MAX_MEMORY_KB, "{memory_kb} kB, {case}");
         wait_connections_closed(&server);
     }
--- a/limiter/tests/quotas.rs
+++ b/limiter/tests/quotas.rs
@@ -10,15 +10,15 @@
 
 /// What is given up on is answered at once, and the response says when to retry.
 #[test]
-fn a_rejection_comes_at_once_and_says_when_to_retry() {
+fn a_rejection_is_immediate_and_carries_retry_after() {
     let server = StubServer::responding("fine");
-    let node = NodeProcess::with_server(&server, |configuration| {
+    let limiter = LimiterProcess::with_server(&server, |configuration| {
         configuration
             .replace(r#""MayTell":true"#, r#""MayTell":true,"RetryAfter":true"#)
             .with_quota(r#""Rate":2,"StoreSize":1"#)
     });
     let began = Instant::now();
-    let response = node.request(&idempotent_request().replace("units=1", "units=3"));
+    let response = limiter.request(&idempotent_request().replace("units=1", "units=3"));
     assert!(began.elapsed() < Duration::from_secs(1), "{:?} of 3 s", began.elapsed());
     assert_eq!(response.status, 429);
     assert_eq!(response.header("retry-after").as_deref(), Some("1.500"));
@@ -28,9 +28,9 @@
 /// Guards against figures that no plan has, in a usual customer's name: they must not touch its quota. The plan here
 /// has a burst of 4 units.
 #[test]
-fn bad_values_leave_the_quota_of_a_customer_alone() {
+fn invalid_header_values_do_not_change_the_quota_of_a_customer() {
     let server = StubServer::responding("fine");
-    let node = NodeProcess::with_server(&server, |configuration| {
+    let limiter = LimiterProcess::with_server(&server, |configuration| {
         configuration.with_quota(r#""Rate":0.5,"StoreSize":4"#).with_max_cost_units(4)
     });
     let good = idempotent_request();
@@ -48,11 +48,11 @@
         twice("X-Time-Left: 1"),
         twice("X-Correlation-Id: c-2"),
     ] {
-        assert_eq!(node.request(&request).status, 400, "{request}");
+        assert_eq!(limiter.request(&request).status, 400, "{request}");
     }
     assert!(server.received().is_empty());
     for n in 0..4 {
-        assert_eq!(node.request(&good).status, 200, "unit {n} of the customer's 4");
+        assert_eq!(limiter.request(&good).status, 200, "unit {n} of the customer's 4");
     }
 }
 
@@ -60,18 +60,18 @@
 /// request can have leaves the estimate. The plan here has a burst of 2 units; a cost of 4 leaves it overdrawn for 12
 /// s.
 #[test]
-fn the_quota_takes_the_true_cost_that_a_response_tells() {
+fn the_quota_is_charged_with_the_actual_cost_of_a_response() {
     let num_served_by_cost = [("4", 1), ("1.0", 2), ("many", 2), ("-2", 2), ("NaN", 2), ("1e9", 2), ("", 2)];
     for (cost, num_served) in num_served_by_cost {
         let server = StubServer::new(move |_, stream| {
             write!(stream, "HTTP/1.1 200 OK\r\nX-True-Cost: {cost}\r\nContent-Length: 0\r\n\r\n").is_ok()
         });
-        let node = NodeProcess::with_server(&server, |configuration| {
+        let limiter = LimiterProcess::with_server(&server, |configuration| {
             configuration.with_quota(r#""Rate":0.25,"StoreSize":2"#).with_max_cost_units(4)
         });
         for n in 0..2 {
             let expected = if n < num_served { 200 } else { 429 };
-            let status = node.request(&idempotent_request()).status;
+            let status = limiter.request(&idempotent_request()).status;
             assert_eq!(status, expected, "request {n}, cost '{cost}'");
         }
     }
@@ -80,13 +80,13 @@
 /// Datagrams from unknown senders, oversized and malformed ones are ignored; what goes to a peer is 256 bytes at
 /// most.
 #[test]
-fn peers_are_known_by_their_address() {
+fn gossip_is_attributed_to_peers_by_source_address() {
     let server = StubServer::responding("fine");
     let peer = UdpSocket::bind("127.0.0.1:0").expect("bind");
     peer.set_read_timeout(Some(Duration::from_secs(10))).expect("time-out");
     let own = UdpSocket::bind("127.0.0.1:0").expect("bind").local_addr().expect("address");
     let addresses = [own, peer.local_addr().expect("address")];
-    let node = NodeProcess::with_server(&server, |configuration| {
+    let limiter = LimiterProcess::with_server(&server, |configuration| {
         configuration.with_peers(&addresses).with_quota(r#""Rate":100,"StoreSize":100"#)
     });
     let unknown_sender = UdpSocket::bind("127.0.0.1:0").expect("bind");
@@ -99,7 +99,7 @@
     for n in 0..16 {
         let request = idempotent_request().replace(DEFAULT_CUSTOMER, &format!("{n:016x}"));
         let request = request.replace("spread=1", "spread=2");
-        assert_eq!(node.request(&request).status, 200, "the even share serves while an owner is silent");
+        assert_eq!(limiter.request(&request).status, 200, "the even share serves while an owner is silent");
     }
     let mut buffer = [0; 1024];
     let (length, from) = uninterrupted(|| peer.recv_from(&mut buffer)).expect("a quota request");
--- a/limiter/tests/races.rs
+++ b/limiter/tests/races.rs
@@ -12,24 +12,24 @@
 fn start_before(
     server: &ServerWithFullBacklog,
     alter: impl Fn(Configuration) -> Configuration,
-) -> NodeProcess {
-    let node = NodeProcess::with_endpoints(&[], |configuration| {
-        alter(holding_requests(configuration).with_connect_timeout_ms(LONG_CONNECT_TIMEOUT_MS))
+) -> LimiterProcess {
+    let limiter = LimiterProcess::with_endpoints(&[], |configuration| {
+        alter(without_latency_limits(configuration).with_connect_timeout_ms(LONG_CONNECT_TIMEOUT_MS))
     });
-    node.discovery.send(&list_change(2, &[serving_at("s-1", server.addr)]));
-    node.wait_ready();
-    node
+    limiter.discovery.send(&list_change(2, &[serving_at("s-1", server.addr)]));
+    limiter.wait_ready();
+    limiter
 }
 
 #[test]
-fn a_connection_that_comes_up_after_a_drain_carries_nothing() {
+fn a_connection_established_after_a_drain_carries_no_request() {
     let server = ServerWithFullBacklog::new();
     let other = StubServer::responding("other");
-    let node = start_before(&server, |configuration| configuration);
-    let mut client = send_open_request(&node);
+    let limiter = start_before(&server, |configuration| configuration);
+    let mut client = send_open_request(&limiter);
     let changes = [draining_at("s-1", server.addr), serving("s-2", &other)];
-    node.discovery.send(&list_change(3, &changes));
-    node.wait_log("state=draining");
+    limiter.discovery.send(&list_change(3, &changes));
+    limiter.wait_log("state=draining");
     let late = server.accept_all();
     assert_eq!(read_response(&mut client).body, "other");
     late.wait_for_count(1);
@@ -38,14 +38,14 @@
 
 /// Where attempts cannot be cancelled, the connection of the first request comes up besides that of the next one.
 #[test]
-fn a_connection_that_comes_up_after_its_client_has_left_carries_nothing() {
+fn a_connection_established_after_the_client_disconnected_carries_no_request() {
     assert_late_connections_after_disconnect(false, 2);
 }
 
 /// Where attempts can be cancelled, the connection is given up with the client: none comes up but that of the next
 /// request.
 #[test]
-fn a_connection_is_given_up_with_its_client_where_attempts_can_be_cancelled() {
+fn a_connect_is_cancelled_with_its_client_if_attempts_may_be_cancelled() {
     assert_late_connections_after_disconnect(true, 1);
 }
 
@@ -53,18 +53,18 @@
 /// on connections are counted once the program has ended.
 fn assert_late_connections_after_disconnect(can_cancel: bool, num_connections: usize) {
     let server = ServerWithFullBacklog::new();
-    let mut node = start_before(&server, |configuration| {
+    let mut limiter = start_before(&server, |configuration| {
         configuration.replace(r#""Cancelling":true"#, &format!("\"Cancelling\":{can_cancel}"))
     });
-    let client = send_open_request(&node);
+    let client = send_open_request(&limiter);
     drop(client);
-    wait_disconnect_noticed(&node);
+    wait_until_disconnect_is_detected(&limiter);
     let late = server.accept_all();
-    let next = node.request(&patient_request("c-2"));
+    let next = limiter.request(&request_with_long_timeout("c-2"));
     assert_eq!((next.status, next.body.as_str()), (200, "late"));
     late.wait_for_count(num_connections);
-    node.signal("TERM");
-    assert_eq!(node.exit_code(), Some(0));
+    limiter.signal("TERM");
+    assert_eq!(limiter.exit_code(), Some(0));
     assert_eq!(late.num_with_request(), 1, "the second one alone");
     assert_eq!(late.count(), num_connections, "no other has come up");
 }
@@ -72,24 +72,24 @@
 /// A request with a key may have run, and the connection for its retry comes up after the window in which servers
 /// drop duplicates: it carries nothing, and the client learns no more than that its request failed.
 #[test]
-fn a_connection_that_comes_up_after_the_dedup_window_carries_nothing() {
+fn a_connection_established_after_the_dedup_window_carries_no_request() {
     let (late_server, gate) = (ServerWithFullBacklog::new(), Gate::default());
     let breaks_off_at = gate.clone();
     let first_server = StubServer::new(move |_, _| {
         breaks_off_at.wait();
         false
     });
-    let node = NodeProcess::with_server(&first_server, |configuration| {
+    let limiter = LimiterProcess::with_server(&first_server, |configuration| {
         configuration
             .without_latency_objective()
             .with_connect_timeout_ms(LONG_CONNECT_TIMEOUT_MS)
             .replace(r#""AimMs":2500"#, r#""AimMs":600000"#)
             .replace(r#""WindowMs":8000"#, r#""WindowMs":1000"#)
     });
-    let mut client = node.send(&request_with_key("k", "x").replace("Left: 3.0", "Left: 60"));
+    let mut client = limiter.send(&request_with_key("k", "x").replace("Left: 3.0", "Left: 60"));
     wait_for("the first attempt", || first_server.num_received() == 1);
-    node.discovery.send(&list_change(2, &[serving_at("s-2", late_server.addr)]));
-    node.wait_log("endpoint changed server=s-2 ");
+    limiter.discovery.send(&list_change(2, &[serving_at("s-2", late_server.addr)]));
+    limiter.wait_log("endpoint changed server=s-2 ");
     gate.open();
     wait_for("the first attempt to break off", || first_server.num_closed() == 1);
     // The window counts from before the first attempt was received.
--- a/limiter/tests/reload.rs
+++ b/limiter/tests/reload.rs
@@ -16,23 +16,23 @@
 #[test]
 fn a_reload_moves_the_watch_and_loses_no_change() {
     let (one, two) = (StubServer::responding("one"), StubServer::responding("two"));
-    let node = NodeProcess::in_front_of(&one);
-    let responds = |body: &str| node.request(&idempotent_request()).body == body;
+    let limiter = LimiterProcess::in_front_of(&one);
+    let responds = |body: &str| limiter.request(&idempotent_request()).body == body;
     let new_discovery = StubDiscovery::new(HEARTBEAT.to_string());
-    let (old, new) = (node.discovery.addr.to_string(), new_discovery.addr.to_string());
-    node.reload(|configuration| configuration.replace(&old, &new));
+    let (old, new) = (limiter.discovery.addr.to_string(), new_discovery.addr.to_string());
+    limiter.reload(|configuration| configuration.replace(&old, &new));
     wait_for("the new watch", || new_discovery.num_watches() == 1);
     let watches = new_discovery.watch_requests();
     assert!(!watches[0].contains("after="), "{watches:?}");
-    assert_eq!(node.request(&idempotent_request()).body, "one", "the old list stands");
-    node.discovery.send(&list_change(7, &[draining_at("s-1", one.addr), serving("s-2", &two)]));
+    assert_eq!(limiter.request(&idempotent_request()).body, "one", "the old list stands");
+    limiter.discovery.send(&list_change(7, &[draining_at("s-1", one.addr), serving("s-2", &two)]));
     wait_for("the old watch's change", || responds("two"));
     new_discovery.send(&complete_list(3, &[serving("s-1", &one)]));
-    node.wait_log("endpoint changed server=s-1 ");
+    limiter.wait_log("endpoint changed server=s-1 ");
     wait_for("the new list", || responds("one"));
-    node.discovery.send(&complete_list(8, &[serving("s-2", &two)]));
-    node.wait_log("superseded by a newer source");
-    assert_eq!(node.request(&idempotent_request()).body, "one");
+    limiter.discovery.send(&complete_list(8, &[serving("s-2", &two)]));
+    limiter.wait_log("superseded by a newer source");
+    assert_eq!(limiter.request(&idempotent_request()).body, "one");
     new_discovery.end_watches();
     wait_for("the watch begun anew", || new_discovery.num_watches() == 2);
     let watches = new_discovery.watch_requests();
@@ -41,30 +41,30 @@
 
 /// A system call may fail for a moment, and a file may be seen half written: the new configuration counts all the same.
 #[test]
-fn a_configuration_that_cannot_be_read_for_a_moment_counts_later() {
+fn an_unreadable_configuration_is_read_again() {
     let (one, two) = (StubServer::responding("one"), StubServer::responding("two"));
     for half_written in [None, Some("{\"name\":\"n0\",")] {
-        let node = NodeProcess::in_front_of(&one);
+        let limiter = LimiterProcess::in_front_of(&one);
         let new_discovery = StubDiscovery::new(complete_list(1, &[serving("s-1", &two)]));
-        let (old, new) = (node.discovery.addr.to_string(), new_discovery.addr.to_string());
-        let whole = node.replace_configuration(half_written);
-        node.signal("HUP");
-        node.wait_log("configuration reload failed");
-        node.replace_configuration(Some(&whole.replace(&old, &new)));
-        wait_for("the new list", || node.request(&idempotent_request()).body == "two");
+        let (old, new) = (limiter.discovery.addr.to_string(), new_discovery.addr.to_string());
+        let whole = limiter.replace_configuration(half_written);
+        limiter.signal("HUP");
+        limiter.wait_log("configuration reload failed");
+        limiter.replace_configuration(Some(&whole.replace(&old, &new)));
+        wait_for("the new list", || limiter.request(&idempotent_request()).body == "two");
     }
 }
 
 /// A file that cannot be read leaves all as it is.
 #[test]
-fn a_bad_reload_changes_nothing() {
+fn an_invalid_configuration_changes_nothing() {
     let server = StubServer::responding("fine");
-    let node = NodeProcess::in_front_of(&server);
-    node.reload(|configuration| configuration.replace_first("{", ""));
-    node.wait_log("keeping current configuration");
-    assert_eq!(node.request(&idempotent_request()).status, 200);
-    node.discovery.send(&list_change(2, &[draining_at("s-1", server.addr)]));
-    wait_for("the old watch's change", || !node.is_ready());
+    let limiter = LimiterProcess::in_front_of(&server);
+    limiter.reload(|configuration| configuration.replace_first("{", ""));
+    limiter.wait_log("keeping current configuration");
+    assert_eq!(limiter.request(&idempotent_request()).status, 200);
+    limiter.discovery.send(&list_change(2, &[draining_at("s-1", server.addr)]));
+    wait_for("the old watch's change", || !limiter.is_ready());
 }
 
 /// The program with a pipe for its configuration, so that the test decides when it is read; it ends with the test.
@@ -128,7 +128,7 @@
 /// SIGHUP comes while the program still reads its first configuration, and the second names another discovery. Guards
 /// against a program that ends by it, forgets it, watches twice, or follows both.
 #[test]
-fn a_hangup_before_the_first_watch_moves_the_watch() {
+fn a_sighup_before_the_first_watch_moves_the_watch() {
     let (server, elsewhere) = (StubServer::responding("two"), StubServer::responding("one"));
     let old = StubDiscovery::new(complete_list(1, &[serving("s-1", &elsewhere)]));
     let new = StubDiscovery::new(complete_list(1, &[serving("s-2", &server)]));
@@ -152,7 +152,7 @@
     let log = program.log();
     let address = listening_address(&log).expect("an address");
     let mut client = TcpStream::connect(address).expect("connect");
-    assert_eq!(exchange(&mut client, &patient_request("hangup")).body, "two");
+    assert_eq!(exchange(&mut client, &request_with_long_timeout("hangup")).body, "two");
     // A call that is answered late, on a slow machine, is made again.
     assert!(new.num_calls() == 1 || log.contains("watching again"), "{log}");
     assert!(!log.contains("s-9"), "the old one is followed: {log}");
--- a/limiter/tests/shutdown.rs
+++ b/limiter/tests/shutdown.rs
@@ -9,53 +9,53 @@
 use stubs::*;
 
 #[test]
-fn sigterm_finishes_what_was_taken_and_exits_with_0() {
+fn sigterm_finishes_pending_requests_and_exits_with_0() {
     let server = StubServer::new(|request, stream| {
         if request.body == "slow" {
             pause_ms(600);
         }
         write_ok(stream, "done")
     });
-    let mut node = NodeProcess::in_front_of(&server);
-    let mut idle = node.connect();
+    let mut limiter = LimiterProcess::in_front_of(&server);
+    let mut idle = limiter.connect();
     assert_eq!(exchange(&mut idle, &idempotent_request()).status, 200);
-    let mut slow = node.send(&request_with_key("k1", "slow"));
+    let mut slow = limiter.send(&request_with_key("k1", "slow"));
     wait_for("the slow request to arrive", || server.num_received() == 2);
-    node.signal("TERM");
-    node.wait_log("shutdown started");
-    assert_eq!(node.request(&idempotent_request()).status, 200, "new connections are still served");
+    limiter.signal("TERM");
+    limiter.wait_log("shutdown started");
+    assert_eq!(limiter.request(&idempotent_request()).status, 200, "new connections are still served");
     assert_eq!(exchange(&mut idle, &idempotent_request()).status, 200, "and those that are kept");
     assert_eq!(uninterrupted(|| idle.read(&mut [0; 16])).expect("a clean end"), 0, "closed between requests");
     assert_eq!(read_response(&mut slow).body, "done");
-    assert_eq!(node.exit_code(), Some(0));
+    assert_eq!(limiter.exit_code(), Some(0));
 }
 
 /// After SIGTERM clients go on using the connections they have. Guards against closing these at once while there is
 /// time: 3 s of deadline and 0.7 s before a SIGKILL, less the longest latency objective (1 s) and a little to spare.
 #[test]
-fn sigterm_leaves_kept_connections_open_while_there_is_time() {
+fn idle_connections_stay_open_after_sigterm_while_time_is_left() {
     let server = StubServer::responding("fine");
-    let mut node = NodeProcess::with_server(&server, |configuration| {
+    let mut limiter = LimiterProcess::with_server(&server, |configuration| {
         configuration.replace(r#""AimMs":2500,"#, r#""AimMs":900,"DeadlineMs":8000,"#)
     });
-    let mut kept = node.connect();
+    let mut kept = limiter.connect();
     assert_eq!(exchange(&mut kept, &idempotent_request()).status, 200);
-    node.signal("TERM");
-    node.wait_log("shutdown started");
+    limiter.signal("TERM");
+    limiter.wait_log("shutdown started");
     // Requests are accepted for 2.4 s (3 s + 0.7 s - 0.3 s - 1 s): this is half of that.
     pause_ms(1200);
     assert_eq!(exchange(&mut kept, &idempotent_request()).status, 200);
-    assert!(!node.is_ready());
+    assert!(!limiter.is_ready());
     assert_eq!(uninterrupted(|| kept.read(&mut [0; 16])).expect("a clean end"), 0, "closed between requests");
-    assert_eq!(node.exit_code(), Some(0));
+    assert_eq!(limiter.exit_code(), Some(0));
 }
 
 /// Guards against a restart held up by clients that connect and say nothing: what was taken is finished, no more.
 #[test]
-fn sigterm_does_not_wait_for_clients_that_request_nothing() {
+fn shutdown_does_not_wait_for_clients_without_requests() {
     let server = StubServer::responding_after_ms(900, "done");
-    let mut node = NodeProcess::in_front_of(&server);
-    let addr = node.addr;
+    let mut limiter = LimiterProcess::in_front_of(&server);
+    let addr = limiter.addr;
     let crowd = std::thread::spawn(move || {
         let mut held = Vec::new();
         // Until connections are refused, or for as long as an end would have to come by.
@@ -66,34 +66,34 @@
         }
         false
     });
-    let mut slow = node.send(&request_with_key("k", "x"));
+    let mut slow = limiter.send(&request_with_key("k", "x"));
     wait_for("the request to arrive", || server.num_received() == 1);
-    node.signal("TERM");
+    limiter.signal("TERM");
     assert_eq!(read_response(&mut slow).body, "done");
-    assert_eq!(node.exit_code(), Some(0));
+    assert_eq!(limiter.exit_code(), Some(0));
     assert!(crowd.join().expect("the crowd"), "it ended while they still came");
 }
 
 /// After SIGTERM there is a last moment for responses, whatever time a client has left: what an unresponsive server
 /// has is answered by then, as is what comes later, and only then the process ends.
 #[test]
-fn all_is_answered_before_the_end_though_servers_hang() {
+fn all_requests_are_answered_during_shutdown_although_servers_are_unresponsive() {
     let server = StubServer::unresponsive();
-    let mut node = NodeProcess::with_server(&server, |configuration| {
+    let mut limiter = LimiterProcess::with_server(&server, |configuration| {
         configuration
             .replace(r#""KeyScope":"all","#, r#""KeyScope":"all","LateWorth":0.2,"DeadlineMs":400,"#)
             .replace(r#""LateWorth":0}"#, r#""LateWorth":0,"DeadlineMs":400}"#)
     });
     let request = |n: u32| request_with_key(&format!("k{n}"), "x").replace("Left: 3.0", "Left: 600");
-    let mut clients: Vec<TcpStream> = (0..4).map(|n| node.send(&request(n))).collect();
+    let mut clients: Vec<TcpStream> = (0..4).map(|n| limiter.send(&request(n))).collect();
     wait_for("the requests to arrive", || server.num_received() >= 4);
-    node.signal("TERM");
-    node.wait_log("shutdown started");
-    clients.push(node.send(&request(9)));
+    limiter.signal("TERM");
+    limiter.wait_log("shutdown started");
+    clients.push(limiter.send(&request(9)));
     for client in &mut clients {
         assert_eq!(read_response(client).status, 502, "it may have run");
     }
-    assert_eq!(node.exit_code(), Some(0));
+    assert_eq!(limiter.exit_code(), Some(0));
 }
 
 /// Checks in a row without a further request after which none is expected to come.
@@ -113,23 +113,23 @@
 
 /// A response that its client reads slowly is not cut by the end of the process or its sweeps.
 #[test]
-fn a_response_that_is_being_written_is_not_cut() {
+fn shutdown_does_not_truncate_a_response_that_is_being_written() {
     const NUM_REQUESTS: usize = 300;
     let body: String = ('a'..='z').cycle().take(60_000).collect();
     let server = StubServer::responding(&body);
-    let mut node = NodeProcess::in_front_of(&server);
-    let mut client = node.connect();
+    let mut limiter = LimiterProcess::in_front_of(&server);
+    let mut client = limiter.connect();
     // Pipelined requests, and none of their responses read: sooner or later one cannot be written.
     let request = |n| request_of_class("look", "X-A: b\r\n").replace("c-1", &format!("c-{n}"));
     let requests: String = (0..NUM_REQUESTS).map(request).collect();
     let mut writer = client.try_clone().expect("a clone");
     let writing = std::thread::spawn(move || drop(writer.write_all(requests.as_bytes())));
     assert!(wait_no_more_received(&server) < NUM_REQUESTS, "all were answered");
-    node.signal("TERM");
-    wait_for("the listener to close", || TcpStream::connect(node.addr).is_err());
+    limiter.signal("TERM");
+    wait_for("the listener to close", || TcpStream::connect(limiter.addr).is_err());
     // Longer than any sweep of idle connections.
     pause_ms(1500);
-    client.set_read_timeout(Some(PATIENCE)).expect("time-out");
+    client.set_read_timeout(Some(WAIT_TIMEOUT)).expect("time-out");
     let mut responses = Vec::new();
     let end = loop {
         match read_message(&mut client) {
@@ -144,14 +144,14 @@
     let last = responses.last().expect("responses");
     assert_eq!(last.header("connection").as_deref(), Some("close"));
     assert!(end.ends_with(r#"after """#), "the last response is cut: {end}");
-    assert_eq!(node.exit_code(), Some(0));
+    assert_eq!(limiter.exit_code(), Some(0));
     drop(client);
     writing.join().expect("the writer");
 }
 
 /// Requests that were read together with an open one are owed their answers, too: the connection ends with the last.
 #[test]
-fn requests_behind_an_open_one_are_answered_at_the_end() {
+fn pipelined_requests_are_answered_during_shutdown() {
     let gate = Gate::default();
     let opens = gate.clone();
     let server = StubServer::new(move |request, stream| {
@@ -160,12 +160,12 @@
         }
         write_ok(stream, "fine")
     });
-    let mut node = NodeProcess::with_server(&server, Configuration::without_latency_objective);
+    let mut limiter = LimiterProcess::with_server(&server, Configuration::without_latency_objective);
     let requests: String = ["first", "second", "third"].map(idempotent_request_with_id).concat();
-    let mut client = node.send(&requests);
+    let mut client = limiter.send(&requests);
     wait_for("the first request", || server.num_received() == 1);
-    node.signal("TERM");
-    node.wait_log("SIGTERM");
+    limiter.signal("TERM");
+    limiter.wait_log("SIGTERM");
     // Longer than the 0.6 s for which all is served as before.
     pause_ms(800);
     gate.open();
@@ -173,5 +173,5 @@
         assert_eq!(read_response(&mut client).status, 200, "{id}");
     }
     assert_eq!(read_until_closed(&mut client, std::time::Instant::now()).text, "");
-    assert_eq!(node.exit_code(), Some(0));
+    assert_eq!(limiter.exit_code(), Some(0));
 }
--- a/limiter/tests/shutdown_races.rs
+++ b/limiter/tests/shutdown_races.rs
@@ -13,25 +13,25 @@
 
 /// A process that takes requests after SIGTERM for as short as any, and its server. What it has taken it holds for as
 /// long as it may: else a machine that stalls for a second by itself has requests rejected.
-fn start() -> (StubServer, NodeProcess) {
+fn start() -> (StubServer, LimiterProcess) {
     let server = StubServer::responding("fine");
-    let node = NodeProcess::with_server(&server, Configuration::without_latency_objective);
-    (server, node)
+    let limiter = LimiterProcess::with_server(&server, Configuration::without_latency_objective);
+    (server, limiter)
 }
 
 /// Has the process stand still while `meanwhile` is done and past every moment of its end.
-fn stall<T>(node: &NodeProcess, meanwhile: impl FnOnce() -> T) -> T {
-    node.signal("STOP");
+fn stall<T>(limiter: &LimiterProcess, meanwhile: impl FnOnce() -> T) -> T {
+    limiter.signal("STOP");
     let result = meanwhile();
     pause_ms(STALL_MS);
-    node.signal("CONT");
+    limiter.signal("CONT");
     result
 }
 
 /// A keep-alive connection that has been used.
-fn kept_connection(node: &NodeProcess, id: &str) -> TcpStream {
-    let mut client = node.connect();
-    assert_eq!(exchange(&mut client, &patient_request(id)).status, 200);
+fn kept_connection(limiter: &LimiterProcess, id: &str) -> TcpStream {
+    let mut client = limiter.connect();
+    assert_eq!(exchange(&mut client, &request_with_long_timeout(id)).status, 200);
     client
 }
 
@@ -44,7 +44,7 @@
 }
 
 fn write_request(client: &mut TcpStream, id: &str) -> std::io::Result<()> {
-    client.write_all(patient_request(id).as_bytes())
+    client.write_all(request_with_long_timeout(id).as_bytes())
 }
 
 /// A new connection and a request on it; nothing if the listener is closed.
@@ -56,7 +56,7 @@
 /// The head of a complete response, or nothing if the connection ended before its first byte. A part of one is a
 /// fault, and so is a connection that stays open and says nothing.
 fn response_head(client: &mut TcpStream) -> Option<String> {
-    client.set_read_timeout(Some(PATIENCE)).expect("time-out");
+    client.set_read_timeout(Some(WAIT_TIMEOUT)).expect("time-out");
     match uninterrupted(|| client.peek(&mut [0])) {
         Ok(length) if length > 0 => Some(read_response(client).head),
         Err(error) if matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {
@@ -75,19 +75,19 @@
 /// once then, and nobody reads what came. A keep-alive connection may be closed with its request unread; that one
 /// comes again.
 #[test]
-fn requests_that_come_in_a_stall_across_the_end_are_not_lost() {
+fn requests_that_arrive_during_a_stall_at_shutdown_are_not_lost() {
     // Three times: now and then a process is stopped while it is not waiting for I/O, which forces less.
     for _ in 0..3 {
-        let (server, mut node) = start();
-        let mut resting = kept_connection(&node, "first");
-        let mut silent = node.connect();
-        node.signal("TERM");
-        node.wait_log("shutdown started");
-        let new = stall(&node, || {
+        let (server, mut limiter) = start();
+        let mut resting = kept_connection(&limiter, "first");
+        let mut silent = limiter.connect();
+        limiter.signal("TERM");
+        limiter.wait_log("shutdown started");
+        let new = stall(&limiter, || {
             is_open(&resting).then(|| {
                 write_request(&mut resting, "resting").expect("write");
                 write_request(&mut silent, "silent").expect("write");
-                node.send(&patient_request("new"))
+                limiter.send(&request_with_long_timeout("new"))
             })
         });
         let Some(mut new) = new else { continue };
@@ -96,7 +96,7 @@
         assert_eq!(usize::from(is_served(&mut resting)), server.num_received_with_id("resting"));
         let num_received = (server.num_received_with_id("new"), server.num_received_with_id("silent"));
         assert_eq!(num_received, (1, 1));
-        assert_eq!(node.exit_code(), Some(0));
+        assert_eq!(limiter.exit_code(), Some(0));
     }
 }
 
@@ -104,13 +104,14 @@
 /// on connections that no event has announced yet, and against a return before those accepted last have been read.
 #[test]
 fn the_accept_queue_is_served_before_the_listener_closes() {
-    let (server, mut node) = start();
-    let resting = kept_connection(&node, "first");
-    node.signal("TERM");
-    node.wait_log("shutdown started");
+    let (server, mut limiter) = start();
+    let resting = kept_connection(&limiter, "first");
+    limiter.signal("TERM");
+    limiter.wait_log("shutdown started");
     let ids: Vec<String> = (0..120).map(|n| format!("q-{n}")).collect();
-    let mut waiting: Vec<TcpStream> = stall(&node, || {
-        let sent = ids.iter().filter(|_| is_open(&resting)).map(|id| node.send(&patient_request(id)));
+    let mut waiting: Vec<TcpStream> = stall(&limiter, || {
+        let sent =
+            ids.iter().filter(|_| is_open(&resting)).map(|id| limiter.send(&request_with_long_timeout(id)));
         sent.collect()
     });
     let heads: Vec<Option<String>> = waiting.iter_mut().map(response_head).collect();
@@ -124,26 +125,26 @@
             assert!(head.starts_with("HTTP/1.1 429"), "{id}: {head}");
         }
     }
-    assert_eq!(node.exit_code(), Some(0));
+    assert_eq!(limiter.exit_code(), Some(0));
 }
 
 /// Clients rest until their connections end, write a request in that moment, and send it once more on a new
 /// connection. Guards against one that is lost the second time, or runs twice. A client that finds the listener
 /// closed goes elsewhere.
 #[test]
-fn a_request_that_is_sent_again_at_the_end_is_served_once() {
-    let (server, mut node) = start();
+fn a_request_resent_at_shutdown_is_served_once() {
+    let (server, mut limiter) = start();
     let ids: Vec<String> = (0..8).map(|n| format!("again-{n}")).collect();
     let mut resting: Vec<TcpStream> =
-        ids.iter().map(|id| kept_connection(&node, &format!("before-{id}"))).collect();
-    node.signal("TERM");
+        ids.iter().map(|id| kept_connection(&limiter, &format!("before-{id}"))).collect();
+    limiter.signal("TERM");
     for client in &mut resting {
         assert_eq!(response_head(client), None, "closed between requests");
     }
-    let again: Vec<Option<TcpStream>> = stall(&node, || {
+    let again: Vec<Option<TcpStream>> = stall(&limiter, || {
         let send_twice = |(client, id): (&mut TcpStream, &String)| {
             let _ = write_request(client, id);
-            try_send(node.addr, id)
+            try_send(limiter.addr, id)
         };
         resting.iter_mut().zip(&ids).map(send_twice).collect()
     });
@@ -152,7 +153,7 @@
         let num_served = usize::from(client.is_some_and(|mut client| is_served(&mut client)));
         assert_eq!((num_served, server.num_received_with_id(id)), (num_sent, num_sent), "{id}");
     }
-    assert_eq!(node.exit_code(), Some(0));
+    assert_eq!(limiter.exit_code(), Some(0));
 }
 
 /// What came of the requests on one connection, until it ended.
@@ -181,23 +182,23 @@
 /// Clients go on sending on their keep-alive connections until these end, with a stall among it. Guards against a
 /// request that is forwarded to a server and not answered: its client may send it again, and it runs twice.
 #[test]
-fn every_request_up_to_the_end_is_answered_or_not_forwarded() {
-    let (server, mut node) = start();
+fn every_request_until_exit_is_answered_or_not_forwarded() {
+    let (server, mut limiter) = start();
     let sending: Vec<_> = (0..8)
         .map(|number| {
-            let mut client = kept_connection(&node, &format!("first-{number}"));
+            let mut client = kept_connection(&limiter, &format!("first-{number}"));
             std::thread::spawn(move || send_until_end(&mut client, number))
         })
         .collect();
     wait_for("traffic", || server.num_received() > 100);
-    node.signal("TERM");
-    node.wait_log("shutdown started");
-    stall(&node, || ());
+    limiter.signal("TERM");
+    limiter.wait_log("shutdown started");
+    stall(&limiter, || ());
     for client in sending {
         let SentRequests { num_answered, unanswered } = client.join().expect("complete responses");
         assert!(num_answered > 0);
         let num_forwarded = unanswered.map_or(0, |id| server.num_received_with_id(&id));
         assert_eq!(num_forwarded, 0, "forwarded and not answered");
     }
-    assert_eq!(node.exit_code(), Some(0));
+    assert_eq!(limiter.exit_code(), Some(0));
 }
--- a/limiter/tests/startup.rs
+++ b/limiter/tests/startup.rs
@@ -11,7 +11,7 @@
 const DISCOVERY_MODES: [&str; 2] = ["automatic", "subscribe"];
 
 #[test]
-fn a_bad_configuration_is_reported_in_one_plain_line() {
+fn an_invalid_configuration_is_reported_in_one_line() {
     for (from, to) in [
         (r#""listen":"127.0.0.1:0""#, r#""listen":"nowhere""#),
         (r#""Balancers":1"#, r#""Balancers":0"#),
@@ -20,7 +20,7 @@
         ("{", ""),
     ] {
         let FailedStart { exit_code, stderr } =
-            NodeProcess::fail_to_start(|configuration| configuration.replace_first(from, to));
+            LimiterProcess::fail_to_start(|configuration| configuration.replace_first(from, to));
         assert_eq!(exit_code, Some(1), "{stderr}");
         assert_eq!(stderr.trim_end().lines().count(), 1, "{stderr}");
         assert!(stderr.starts_with("limiter: "), "{stderr}");
@@ -29,25 +29,25 @@
 
 /// A time that is longer than any clock counts is as good as none.
 #[test]
-fn absurdly_long_times_in_the_settings_end_no_process() {
+fn extreme_times_in_the_settings_do_not_crash_the_process() {
     let server = StubServer::responding("fine");
-    let node = NodeProcess::with_server(&server, |configuration| {
+    let limiter = LimiterProcess::with_server(&server, |configuration| {
         let bounds = r#""DialTimeoutMs":250"#;
         configuration.replace(bounds, r#""DialTimeoutMs":1e300,"IdleCloseMs":1e300"#)
     });
-    assert_eq!(node.request(&idempotent_request()).status, 200);
+    assert_eq!(limiter.request(&idempotent_request()).status, 200);
 }
 
 /// A limiter that was killed starts again under its address at once.
 #[test]
-fn a_killed_limiter_starts_again_under_its_address() {
+fn a_killed_limiter_can_listen_on_its_address_again() {
     let server = StubServer::responding("fine");
-    let first = NodeProcess::in_front_of(&server);
+    let first = LimiterProcess::in_front_of(&server);
     let addr = first.addr;
     let mut keep_alive = first.connect();
     assert_eq!(exchange(&mut keep_alive, &idempotent_request()).status, 200);
     drop(first);
-    let again = NodeProcess::with_server(&server, |configuration| {
+    let again = LimiterProcess::with_server(&server, |configuration| {
         configuration.replace(r#""listen":"127.0.0.1:0""#, &format!(r#""listen":"{addr}""#))
     });
     assert_eq!(again.addr, addr);
@@ -65,26 +65,26 @@
 }
 
 /// Starts with an endpoint list of an earlier time, while discovery takes calls and says nothing.
-fn start_with_silent_discovery(alter: impl Fn(Configuration) -> Configuration) -> NodeProcess {
-    NodeProcess::with_discovery(StubDiscovery::unresponsive(), alter, DEFAULT_DESCRIPTORS)
+fn start_with_silent_discovery(alter: impl Fn(Configuration) -> Configuration) -> LimiterProcess {
+    LimiterProcess::with_discovery(StubDiscovery::unresponsive(), alter, DEFAULT_DESCRIPTORS)
 }
 
 /// With an old list, an empty one, one that names nothing that takes requests, one that cannot be read and none at
 /// all a new process is ready in time, and answers at once that it cannot serve, if it cannot.
 #[test]
-fn a_new_process_is_ready_though_discovery_is_silent() {
+fn a_new_process_becomes_ready_while_discovery_is_silent() {
     let gone: SocketAddr = "127.0.0.1:1".parse().expect("an address");
     let old = complete_list(1, &[serving_at("s-1", gone)]);
     let draining = complete_list(1, &[draining_at("s-1", gone)]);
     for mode in DISCOVERY_MODES {
         std::thread::scope(|scope| {
-            for known in [old.as_str(), NO_KNOWN_SERVERS, &draining, "{\"servers\":7}", "null"] {
+            for known in [old.as_str(), NO_CONFIGURED_SERVERS, &draining, "{\"servers\":7}", "null"] {
                 scope.spawn(move || {
-                    let node = start_with_silent_discovery(|configuration| {
-                        configuration.with_known_servers(known).with_discovery_mode(mode)
+                    let limiter = start_with_silent_discovery(|configuration| {
+                        configuration.with_configured_servers(known).with_discovery_mode(mode)
                     });
-                    node.wait_ready();
-                    assert_eq!(node.request(&idempotent_request()).status, 429, "{known}");
+                    limiter.wait_ready();
+                    assert_eq!(limiter.request(&idempotent_request()).status, 429, "{known}");
                 });
             }
         });
@@ -93,32 +93,32 @@
 
 /// Nothing answers where discovery should be.
 #[test]
-fn a_new_process_is_ready_though_discovery_is_down() {
+fn a_new_process_becomes_ready_while_discovery_is_down() {
     for mode in DISCOVERY_MODES {
         let alter = |configuration: Configuration| configuration.with_discovery_mode(mode);
-        let node = NodeProcess::with_discovery(StubDiscovery::down(), alter, DEFAULT_DESCRIPTORS);
-        node.wait_ready();
-        node.wait_log("cannot connect");
+        let limiter = LimiterProcess::with_discovery(StubDiscovery::down(), alter, DEFAULT_DESCRIPTORS);
+        limiter.wait_ready();
+        limiter.wait_log("cannot connect");
     }
 }
 
 /// What discovery has counts as announced from a new process's first moment, and the list that it was given at its
 /// start may be old: a request that comes before discovery has answered waits for it.
 #[test]
-fn nothing_is_forwarded_by_an_old_list_before_discovery_has_answered() {
+fn nothing_is_forwarded_with_a_stale_list_before_discovery_has_answered() {
     let (one, two) = (StubServer::responding("one"), StubServer::responding("two"));
     let known = complete_list(1, &[serving("s-1", &one)]);
     // On a machine so slow that discovery has had its chance before it answers, it is done once more.
     for _ in 0..10 {
-        let node = start_with_silent_discovery(|configuration| {
-            configuration.without_latency_objective().with_known_servers(&known)
+        let limiter = start_with_silent_discovery(|configuration| {
+            configuration.without_latency_objective().with_configured_servers(&known)
         });
-        let mut client = node.send(&idempotent_request());
-        wait_for("the call", || node.discovery.num_calls() > 0);
+        let mut client = limiter.send(&idempotent_request());
+        wait_for("the call", || limiter.discovery.num_calls() > 0);
         let change = [draining_at("s-1", one.addr), serving("s-2", &two)];
-        node.discovery.resume_with(&list_change(2, &change));
+        limiter.discovery.resume_with(&list_change(2, &change));
         let response = read_response(&mut client);
-        if node.has_logged("using configured endpoint list") {
+        if limiter.has_logged("using configured endpoint list") {
             continue;
         }
         assert_eq!((response.status, response.body.as_str()), (200, "two"));
@@ -130,23 +130,23 @@
 
 /// A discovery that says nothing at all costs a start little: then the list that was given counts.
 #[test]
-fn the_list_of_the_configuration_counts_where_discovery_is_silent() {
+fn the_configured_list_is_used_while_discovery_is_silent() {
     let one = StubServer::responding("one");
     let known = complete_list(1, &[serving("s-1", &one)]);
-    let node = start_with_silent_discovery(|configuration| configuration.with_known_servers(&known));
-    node.wait_ready();
-    assert_eq!(node.request(&idempotent_request()).body, "one");
+    let limiter = start_with_silent_discovery(|configuration| configuration.with_configured_servers(&known));
+    limiter.wait_ready();
+    assert_eq!(limiter.request(&idempotent_request()).body, "one");
 }
 
 /// Discovery told another limiter that a server drains, and has fallen silent: the agent of this one may have been told,
 /// too. It asks the other one before it takes clients.
 #[test]
-fn a_new_process_asks_its_peers_for_departed_servers_while_discovery_is_silent() {
+fn a_new_process_polls_its_peers_for_tombstones_while_discovery_is_silent() {
     let (one, two) = (StubServer::responding("one"), StubServer::responding("two"));
     let list = complete_list(1, &[serving("s-1", &one), serving("s-2", &two)]);
     let addresses: Vec<SocketAddr> = unused_udp_addresses(2);
     let discovery = StubDiscovery::new(list.clone());
-    let peer = NodeProcess::with_discovery(
+    let peer = LimiterProcess::with_discovery(
         discovery,
         |configuration| {
             let positioned = configuration.with_peers(&addresses);
@@ -157,12 +157,12 @@
     peer.wait_ready();
     peer.discovery.send(&list_change(2, &[draining_at("s-1", one.addr)]));
     peer.wait_log("state=draining");
-    let node = start_with_silent_discovery(|configuration| {
-        configuration.without_latency_objective().with_known_servers(&list).with_peers(&addresses)
+    let limiter = start_with_silent_discovery(|configuration| {
+        configuration.without_latency_objective().with_configured_servers(&list).with_peers(&addresses)
     });
-    node.wait_ready();
+    limiter.wait_ready();
     for n in 0..20 {
-        assert_eq!(node.request(&patient_request(&format!("c-{n}"))).body, "two");
+        assert_eq!(limiter.request(&request_with_long_timeout(&format!("c-{n}"))).body, "two");
     }
     assert!(one.received().is_empty(), "{} forwarded to a server that drains", one.num_received());
 }
@@ -172,7 +172,7 @@
 /// call has a descriptor of its own, so that what it says at its return is in force, and so have the attempts that
 /// follow.
 #[test]
-fn idle_clients_leave_discovery_and_attempts_their_descriptors() {
+fn idle_clients_do_not_use_the_descriptors_of_discovery_and_attempts() {
     const DESCRIPTORS: u32 = 64;
     let hanging_server = StubServer::new(|_, stream| {
         wait_for("the end", || stream.peek(&mut [0]).is_ok_and(|length| length == 0));
@@ -182,13 +182,14 @@
     let known = complete_list(1, &[serving("s-1", &hanging_server)]);
     let alter = |configuration: Configuration| {
         let configuration = configuration.without_latency_objective();
-        configuration.with_descriptors(DESCRIPTORS).with_known_servers(&known)
+        configuration.with_descriptors(DESCRIPTORS).with_configured_servers(&known)
     };
-    let node = NodeProcess::with_discovery(StubDiscovery::unresponsive(), alter, DESCRIPTORS);
-    node.wait_log("using configured endpoint list");
-    let hanging: Vec<TcpStream> = (0..30).map(|n| node.send(&patient_request(&format!("c-{n}")))).collect();
+    let limiter = LimiterProcess::with_discovery(StubDiscovery::unresponsive(), alter, DESCRIPTORS);
+    limiter.wait_log("using configured endpoint list");
+    let hanging: Vec<TcpStream> =
+        (0..30).map(|n| limiter.send(&request_with_long_timeout(&format!("c-{n}")))).collect();
     wait_for("attempts on all connections", || hanging_server.num_received() >= 16);
-    let (is_over, addr) = (Gate::default(), node.addr);
+    let (is_over, addr) = (Gate::default(), limiter.addr);
     let crowd_is_over = is_over.clone();
     let crowd = std::thread::spawn(move || {
         // A place that is taken from one is taken by the next, for as long as the test needs.
@@ -199,14 +200,14 @@
             pause_ms(1);
         }
     });
-    let num_calls = node.discovery.num_calls();
-    wait_for("more calls", || node.discovery.num_calls() > num_calls + 5);
+    let num_calls = limiter.discovery.num_calls();
+    wait_for("more calls", || limiter.discovery.num_calls() > num_calls + 5);
     let change = [draining_at("s-1", hanging_server.addr), serving("s-2", &good_server)];
-    node.discovery.resume_with(&list_change(2, &change));
-    node.wait_log("endpoint changed server=s-2 ");
-    assert!(!node.has_logged("open files"), "no call or attempt lacks a descriptor");
+    limiter.discovery.resume_with(&list_change(2, &change));
+    limiter.wait_log("endpoint changed server=s-2 ");
+    assert!(!limiter.has_logged("open files"), "no call or attempt lacks a descriptor");
     drop(hanging);
     is_over.open();
     crowd.join().expect("the crowd");
-    wait_for("service", || node.request(&idempotent_request_with_id("c-fine")).body == "fine");
+    wait_for("service", || limiter.request(&idempotent_request_with_id("c-fine")).body == "fine");
 }
--- a/limiter/tests/stubs/client.rs
+++ b/limiter/tests/stubs/client.rs
@@ -4,7 +4,7 @@
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
 
-use super::{read_message, uninterrupted, HttpMessage, PATIENCE};
+use super::{read_message, uninterrupted, HttpMessage, WAIT_TIMEOUT};
 
 pub const READINESS_REQUEST: &str = "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n";
 
@@ -32,7 +32,7 @@
 }
 
 /// An idempotent request whose client waits for longer than any test takes.
-pub fn patient_request(id: &str) -> String {
+pub fn request_with_long_timeout(id: &str) -> String {
     idempotent_request().replace("Left: 3.0", "Left: 60").replace(DEFAULT_ID, id)
 }
 
@@ -48,7 +48,7 @@
 }
 
 pub fn read_response(stream: &mut TcpStream) -> HttpMessage {
-    stream.set_read_timeout(Some(PATIENCE)).expect("time-out");
+    stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("time-out");
     read_message(stream).expect("a complete response")
 }
 
@@ -65,12 +65,12 @@
 
 /// Reads until the other side closes or resets the connection.
 pub fn read_until_closed(stream: &mut TcpStream, began: Instant) -> ClosedConnection {
-    stream.set_read_timeout(Some(PATIENCE)).expect("time-out");
+    stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("time-out");
     let (mut received, mut buffer) = (Vec::new(), [0; 4096]);
     loop {
         match uninterrupted(|| stream.read(&mut buffer)) {
             Ok(length) if length > 0 => received.extend_from_slice(&buffer[..length]),
-            Err(error) if error.kind() == ErrorKind::WouldBlock => panic!("not closed in {PATIENCE:?}"),
+            Err(error) if error.kind() == ErrorKind::WouldBlock => panic!("not closed in {WAIT_TIMEOUT:?}"),
             _ => break,
         }
     }
--- a/limiter/tests/stubs/configuration.rs
+++ b/limiter/tests/stubs/configuration.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 /// The endpoint list that the configuration gives the program for its start.
-pub const NO_KNOWN_SERVERS: &str = r#"{"version":1,"full":true,"servers":[]}"#;
+pub const NO_CONFIGURED_SERVERS: &str = r#"{"version":1,"full":true,"servers":[]}"#;
 
 const CONFIGURATION: &str = r#"{"name":"n0","listen":"127.0.0.1:0","discovery":"DISCOVERY","seed":"8c1f30d27a5be964",
 "limits":{"cores":1.0,"memory_mb":192,"sockets":1024},"known":{"version":1,"full":true,"servers":[]},
@@ -102,8 +102,8 @@
     }
 
     /// An endpoint list for the start, which may be old.
-    pub fn with_known_servers(self, list: &str) -> Configuration {
-        self.replace(NO_KNOWN_SERVERS, list.trim_end())
+    pub fn with_configured_servers(self, list: &str) -> Configuration {
+        self.replace(NO_CONFIGURED_SERVERS, list.trim_end())
     }
 
     pub fn with_discovery_mode(self, mode: &str) -> Configuration {
--- a/limiter/tests/stubs/in_flight_request.rs
+++ b/limiter/tests/stubs/in_flight_request.rs
@@ -5,13 +5,13 @@
 
 use super::{
     idempotent_request, pause_ms, serving, wait_for, write_ok, Configuration, Endpoint, HttpMessage,
-    NodeProcess, StubServer,
+    LimiterProcess, StubServer,
 };
 
 /// Servers, the program in front of them, and a client whose request one of them has.
 pub struct InFlightRequest {
     pub servers: Vec<StubServer>,
-    pub node: NodeProcess,
+    pub limiter: LimiterProcess,
     pub client: TcpStream,
 }
 
@@ -31,10 +31,10 @@
         let servers: Vec<StubServer> = (0..num_servers).map(alike).collect();
         let endpoints: Vec<Endpoint> =
             ["s-1", "s-2"].into_iter().zip(&servers).map(|(id, server)| serving(id, server)).collect();
-        let node = NodeProcess::with_endpoints(&endpoints, alter);
-        let client = node.send(request);
+        let limiter = LimiterProcess::with_endpoints(&endpoints, alter);
+        let client = limiter.send(request);
         wait_for("the attempt", || servers.iter().map(StubServer::num_received).sum::<usize>() == 1);
-        InFlightRequest { servers, node, client }
+        InFlightRequest { servers, limiter, client }
     }
 
     /// One server that responds after 0.3 s, and the idempotent request that it has.
--- a/limiter/tests/stubs/node.rs
+++ b/limiter/tests/stubs/limiter_process.rs
@@ -22,7 +22,7 @@
 const DETAIL_LEVEL: &str = " DEBUG ";
 
 /// The program, running; it ends with the test.
-pub struct NodeProcess {
+pub struct LimiterProcess {
     pub addr: SocketAddr,
     pub discovery: StubDiscovery,
     child: Child,
@@ -67,32 +67,35 @@
     assert!(Command::new("kill").args(["-s", name, &pid.to_string()]).status().expect("kill").success());
 }
 
-impl NodeProcess {
+impl LimiterProcess {
     /// Starts in front of one server, s-1.
-    pub fn in_front_of(server: &StubServer) -> NodeProcess {
-        NodeProcess::with_server(server, |configuration| configuration)
+    pub fn in_front_of(server: &StubServer) -> LimiterProcess {
+        LimiterProcess::with_server(server, |configuration| configuration)
     }
 
     /// Starts in front of one server, s-1, with an altered configuration.
-    pub fn with_server(server: &StubServer, alter: impl Fn(Configuration) -> Configuration) -> NodeProcess {
-        NodeProcess::start(&[serving("s-1", server)], alter, DEFAULT_DESCRIPTORS)
+    pub fn with_server(
+        server: &StubServer,
+        alter: impl Fn(Configuration) -> Configuration,
+    ) -> LimiterProcess {
+        LimiterProcess::start(&[serving("s-1", server)], alter, DEFAULT_DESCRIPTORS)
     }
 
     /// Starts with an empty endpoint list.
-    pub fn without_servers() -> NodeProcess {
-        NodeProcess::with_endpoints(&[], |configuration| configuration)
+    pub fn without_servers() -> LimiterProcess {
+        LimiterProcess::with_endpoints(&[], |configuration| configuration)
     }
 
     pub fn with_endpoints(
         endpoints: &[Endpoint],
         alter: impl Fn(Configuration) -> Configuration,
-    ) -> NodeProcess {
-        NodeProcess::start(endpoints, alter, DEFAULT_DESCRIPTORS)
+    ) -> LimiterProcess {
+        LimiterProcess::start(endpoints, alter, DEFAULT_DESCRIPTORS)
     }
 
     /// Starts with a limit on descriptors that the configuration does not tell, in front of one server.
-    pub fn with_descriptor_limit(server: &StubServer, descriptors: u32) -> NodeProcess {
-        NodeProcess::start(&[serving("s-1", server)], |configuration| configuration, descriptors)
+    pub fn with_descriptor_limit(server: &StubServer, descriptors: u32) -> LimiterProcess {
+        LimiterProcess::start(&[serving("s-1", server)], |configuration| configuration, descriptors)
     }
 
     /// Waits until the program is ready, if it has servers.
@@ -100,14 +103,14 @@
         endpoints: &[Endpoint],
         alter: impl Fn(Configuration) -> Configuration,
         descriptors: u32,
-    ) -> NodeProcess {
+    ) -> LimiterProcess {
         let discovery = StubDiscovery::new(complete_list(1, endpoints));
-        let node = NodeProcess::with_discovery(discovery, alter, descriptors);
-        wait_for("the watch", || node.discovery.num_watches() > 0);
+        let limiter = LimiterProcess::with_discovery(discovery, alter, descriptors);
+        wait_for("the watch", || limiter.discovery.num_watches() > 0);
         if !endpoints.is_empty() {
-            node.wait_ready();
+            limiter.wait_ready();
         }
-        node
+        limiter
     }
 
     /// Starts with a discovery of any kind; waits until the program listens.
@@ -115,8 +118,8 @@
         discovery: StubDiscovery,
         alter: impl Fn(Configuration) -> Configuration,
         descriptors: u32,
-    ) -> NodeProcess {
-        NodeProcess::with_faults(discovery, alter, descriptors, &[])
+    ) -> LimiterProcess {
+        LimiterProcess::with_faults(discovery, alter, descriptors, &[])
     }
 
     /// Starts with system calls that fail: variables of `fault_shim::plan` and their values. Waits until the program
@@ -126,7 +129,7 @@
         alter: impl Fn(Configuration) -> Configuration,
         descriptors: u32,
         faults: &[(&str, &str)],
-    ) -> NodeProcess {
+    ) -> LimiterProcess {
         let discovery_address = discovery.addr.to_string();
         let configuration = write_configuration(&alter(Configuration::with_discovery_at(&discovery_address)));
         let mut command = command(&configuration, descriptors);
@@ -149,7 +152,7 @@
             addr = listening_address(&lock(&log)).and_then(|address| address.parse().ok());
             addr.is_some()
         });
-        NodeProcess { addr: addr.expect("an address"), discovery, child, log, configuration }
+        LimiterProcess { addr: addr.expect("an address"), discovery, child, log, configuration }
     }
 
     /// A start that must fail.
@@ -242,7 +245,7 @@
     Some(address.trim())
 }
 
-impl Drop for NodeProcess {
+impl Drop for LimiterProcess {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
--- a/limiter/tests/stubs/mod.rs
+++ b/limiter/tests/stubs/mod.rs
@@ -9,7 +9,7 @@
 mod gate;
 mod http;
 mod in_flight_request;
-mod node;
+mod limiter_process;
 mod quota_owner;
 mod server;
 mod server_with_full_backlog;
@@ -21,7 +21,7 @@
 pub use gate::*;
 pub use http::*;
 pub use in_flight_request::*;
-pub use node::*;
+pub use limiter_process::*;
 pub use quota_owner::*;
 pub use server::*;
 pub use server_with_full_backlog::*;
@@ -31,13 +31,13 @@
 use std::time::{Duration, Instant};
 
 /// What does not come within this time does not come.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Waits until something holds; it is the only measure of time in most tests, and generous.
 pub fn wait_for(what: &str, mut holds: impl FnMut() -> bool) {
     let began = Instant::now();
     while !holds() {
-        assert!(began.elapsed() < PATIENCE, "waited in vain for {what}");
+        assert!(began.elapsed() < WAIT_TIMEOUT, "waited in vain for {what}");
         pause_ms(10);
     }
 }
--- a/limiter/tests/stubs/quota_owner.rs
+++ b/limiter/tests/stubs/quota_owner.rs
@@ -4,7 +4,7 @@
 use std::ops::Range;
 use std::time::Duration;
 
-use super::{patient_request, uninterrupted, NodeProcess, StubServer, DEFAULT_CUSTOMER};
+use super::{request_with_long_timeout, uninterrupted, LimiterProcess, StubServer, DEFAULT_CUSTOMER};
 
 /// A customer whose quota owners are the limiters 1, 2 and 3 of a fleet of four, asked in this order.
 pub const CUSTOMER_OF_OWNER: &str = "00000000b4d65522";
@@ -37,23 +37,23 @@
 
 /// Starts the program as a member of a fleet of four where only the quota owner that it asks first is there; the
 /// others are silent. `quota` is that of the plan of all requests.
-pub fn start_member(server: &StubServer, quota: &str) -> (NodeProcess, StubQuotaOwner) {
+pub fn start_member(server: &StubServer, quota: &str) -> (LimiterProcess, StubQuotaOwner) {
     let sockets: Vec<UdpSocket> = (0..4).map(|_| UdpSocket::bind("127.0.0.1:0").expect("bind")).collect();
     let addresses: Vec<SocketAddr> =
         sockets.iter().map(|socket| socket.local_addr().expect("address")).collect();
     // The others are closed: they are silent, and the first address is free for the member.
     let socket = sockets.into_iter().nth(1).expect("four");
     socket.set_read_timeout(Some(Duration::from_millis(500))).expect("time-out");
-    let node = NodeProcess::with_server(server, |configuration| {
+    let limiter = LimiterProcess::with_server(server, |configuration| {
         let configuration = configuration.with_peers(&addresses).with_quota(quota);
         configuration.without_latency_objective().with_rejecting_plan()
     });
-    (node, StubQuotaOwner { socket, member: addresses[0] })
+    (limiter, StubQuotaOwner { socket, member: addresses[0] })
 }
 
 /// A request of a customer that all four limiters serve.
 pub fn request_of_fleet_customer(id: &str, customer: &str) -> String {
-    patient_request(id).replace("spread=1", "spread=4").replace(DEFAULT_CUSTOMER, customer)
+    request_with_long_timeout(id).replace("spread=1", "spread=4").replace(DEFAULT_CUSTOMER, customer)
 }
 
 impl StubQuotaOwner {
--- a/limiter/tests/system_calls.rs
+++ b/limiter/tests/system_calls.rs
@@ -16,19 +16,19 @@
 const BODY_BYTES: usize = 9_000;
 
 /// Starts the program before two servers that echo, with these faults.
-fn start(faults: &[(&str, &str)]) -> NodeProcess {
+fn start(faults: &[(&str, &str)]) -> LimiterProcess {
     let servers = [StubServer::echoing(), StubServer::echoing()];
     let endpoints = [serving("s-1", &servers[0]), serving("s-2", &servers[1])];
     let discovery = StubDiscovery::new(complete_list(1, &endpoints));
-    let node = NodeProcess::with_faults(discovery, |c| c, DEFAULT_DESCRIPTORS, faults);
-    wait_for("readiness", || try_exchange(&node, READINESS_REQUEST).is_some_and(|r| r.status == 200));
-    node
+    let limiter = LimiterProcess::with_faults(discovery, |c| c, DEFAULT_DESCRIPTORS, faults);
+    wait_for("readiness", || try_exchange(&limiter, READINESS_REQUEST).is_some_and(|r| r.status == 200));
+    limiter
 }
 
 /// The response on a new connection; none if it ends without.
-fn try_exchange(node: &NodeProcess, request: &str) -> Option<HttpMessage> {
-    let mut stream = TcpStream::connect(node.addr).ok()?;
-    stream.set_read_timeout(Some(PATIENCE)).ok()?;
+fn try_exchange(limiter: &LimiterProcess, request: &str) -> Option<HttpMessage> {
+    let mut stream = TcpStream::connect(limiter.addr).ok()?;
+    stream.set_read_timeout(Some(WAIT_TIMEOUT)).ok()?;
     stream.write_all(request.as_bytes()).ok()?;
     read_message(&mut stream).ok()
 }
@@ -48,12 +48,12 @@
 }
 
 /// Sends requests one after the other on a connection that is kept for as long as it lasts.
-fn send_requests(node: &NodeProcess, client: usize) -> Seen {
+fn send_requests(limiter: &LimiterProcess, client: usize) -> Seen {
     let mut seen = Seen::default();
     let mut connection: Option<TcpStream> = None;
     for number in 0..REQUESTS {
-        let mut stream = connection.take().unwrap_or_else(|| node.connect());
-        stream.set_read_timeout(Some(PATIENCE)).expect("time-out");
+        let mut stream = connection.take().unwrap_or_else(|| limiter.connect());
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("time-out");
         let began = Instant::now();
         let response = stream
             .write_all(request(client, number).as_bytes())
@@ -73,11 +73,11 @@
 }
 
 /// Sends all requests at once from all clients; what they have seen together.
-fn load(node: &NodeProcess) -> Seen {
+fn load(limiter: &LimiterProcess) -> Seen {
     let mut all = Seen::default();
     std::thread::scope(|scope| {
         let clients: Vec<_> =
-            (0..CLIENTS).map(|client| scope.spawn(move || send_requests(node, client))).collect();
+            (0..CLIENTS).map(|client| scope.spawn(move || send_requests(limiter, client))).collect();
         for client in clients {
             let seen = client.join().expect("the client's thread");
             all.statuses.extend(seen.statuses);
@@ -96,61 +96,61 @@
     assert!(seen.slowest < Duration::from_millis(3500), "the slowest took {:?}", seen.slowest);
 }
 
-fn assert_stops(mut node: NodeProcess) {
-    node.signal("TERM");
-    assert_eq!(node.exit_code(), Some(0));
-    assert!(!node.has_logged("panicked"));
+fn assert_stops(mut limiter: LimiterProcess) {
+    limiter.signal("TERM");
+    assert_eq!(limiter.exit_code(), Some(0));
+    assert!(!limiter.has_logged("panicked"));
 }
 
 #[test]
-fn short_reads_and_writes_stop_no_connection() {
-    let node = start(&[("FAULT_SHIM_SEED", "1"), ("FAULT_SHIM_SHORT", "200")]);
-    assert_all_answered(&load(&node), &[200]);
-    assert_stops(node);
+fn short_reads_and_writes_do_not_stall_connections() {
+    let limiter = start(&[("FAULT_SHIM_SEED", "1"), ("FAULT_SHIM_SHORT", "200")]);
+    assert_all_answered(&load(&limiter), &[200]);
+    assert_stops(limiter);
 }
 
 #[test]
-fn interrupted_calls_end_no_connection() {
-    let node = start(&[("FAULT_SHIM_SEED", "2"), ("FAULT_SHIM_INTERRUPT", "50")]);
-    assert_all_answered(&load(&node), &[200]);
-    assert_stops(node);
+fn interrupted_calls_do_not_close_connections() {
+    let limiter = start(&[("FAULT_SHIM_SEED", "2"), ("FAULT_SHIM_INTERRUPT", "50")]);
+    assert_all_answered(&load(&limiter), &[200]);
+    assert_stops(limiter);
 }
 
 /// One call in three is interrupted, also those by which the program hears of its signals.
 #[test]
-fn interrupted_calls_lose_no_signal_and_end_no_process() {
-    let node = start(&[("FAULT_SHIM_SEED", "3"), ("FAULT_SHIM_INTERRUPT", "300")]);
+fn interrupted_calls_neither_lose_signals_nor_crash_the_process() {
+    let limiter = start(&[("FAULT_SHIM_SEED", "3"), ("FAULT_SHIM_INTERRUPT", "300")]);
     for _ in 0..10 {
-        node.reload(|configuration| configuration);
-        assert!(try_exchange(&node, READINESS_REQUEST).is_some(), "the program has ended");
+        limiter.reload(|configuration| configuration);
+        assert!(try_exchange(&limiter, READINESS_REQUEST).is_some(), "the program has ended");
     }
-    node.wait_log("configuration reloaded, nothing changed");
-    assert_stops(node);
+    limiter.wait_log("configuration reloaded, nothing changed");
+    assert_stops(limiter);
 }
 
 #[test]
-fn accepts_that_fail_for_a_moment_cost_no_answer() {
-    let node = start(&[("FAULT_SHIM_SEED", "4"), ("FAULT_SHIM_ACCEPT", "300")]);
+fn transient_accept_errors_lose_no_response() {
+    let limiter = start(&[("FAULT_SHIM_SEED", "4"), ("FAULT_SHIM_ACCEPT", "300")]);
     for number in 0..100 {
-        let response = try_exchange(&node, &request(9, number));
+        let response = try_exchange(&limiter, &request(9, number));
         assert_eq!(response.map(|response| response.status), Some(200), "request {number}");
     }
-    assert_stops(node);
+    assert_stops(limiter);
 }
 
 /// Connects and sockets that fail on this side say nothing of a server: a request is retried or rejected, none ends as
 /// failed, and no server is ejected.
 #[test]
-fn connects_that_fail_on_this_side_count_against_no_server() {
+fn local_connect_errors_do_not_count_against_the_server() {
     let faults = [("FAULT_SHIM_SEED", "5"), ("FAULT_SHIM_CONNECT", "300"), ("FAULT_SHIM_SOCKET", "200")];
-    let node = start(&faults);
-    assert_all_answered(&load(&node), &[200, 429]);
-    assert!(!node.has_logged("ejected"), "a server was ejected");
-    assert_stops(node);
+    let limiter = start(&faults);
+    assert_all_answered(&load(&limiter), &[200, 429]);
+    assert!(!limiter.has_logged("ejected"), "a server was ejected");
+    assert_stops(limiter);
 }
 
 #[test]
-fn all_faults_together_cost_no_answer() {
+fn all_faults_together_lose_no_response() {
     let faults = [
         ("FAULT_SHIM_SEED", "6"),
         ("FAULT_SHIM_SHORT", "50"),
@@ -161,17 +161,17 @@
         ("FAULT_SHIM_SOCKET", "50"),
         ("FAULT_SHIM_STEP_S", "-3600"),
     ];
-    let node = start(&faults);
-    assert_all_answered(&load(&node), &[200, 429]);
-    assert_stops(node);
+    let limiter = start(&faults);
+    assert_all_answered(&load(&limiter), &[200, 429]);
+    assert_stops(limiter);
 }
 
 /// Sockets that cannot be made for a moment keep no process from starting.
 #[test]
-fn sockets_that_fail_for_a_moment_refuse_no_start() {
+fn transient_socket_errors_do_not_prevent_the_start() {
     for seed in ["1", "2", "3", "4", "5", "6"] {
         let faults = [("FAULT_SHIM_SEED", seed), ("FAULT_SHIM_SOCKET", "600"), ("FAULT_SHIM_EARLY", "1")];
-        let node = start(&faults);
-        assert_stops(node);
+        let limiter = start(&faults);
+        assert_stops(limiter);
     }
 }
