--- a/test.sh
+++ b/test.sh
@@ -23,6 +23,8 @@
     limiter-core/src/limiter.rs
     limiter-core/src/quota/mod.rs
     limiter-core/src/quota/records.rs
+    limiter-core/src/request/mod.rs
+    limiter-core/src/request/table.rs
     limiter-core/src/settings.rs
     limiter-core/src/token_bucket.rs
 )
