--- /dev/null
+++ b/limiter-core/src/rules/client_connections.rs
@@ -0,0 +1,91 @@
+//! Whether the connection of a client may be closed or evicted, is overdue, or blocks the shutdown.
+
+use crate::event::Millis;
+
+/// Time in milliseconds for which a response may wait to be written before its connection is closed. Bounds
+/// how long a client that does not read occupies a connection.
+const WRITE_TIMEOUT_MS: Millis = 10_000.0;
+/// Time in milliseconds within which a request has to arrive completely, counted from its first byte, or from
+/// the accept for the first request of a connection. Clients that stall must be answered or closed within 3
+/// s; the difference is left for the interval at which connections are checked.
+pub const INCOMPLETE_REQUEST_TIMEOUT_MS: Millis = 2000.0;
+/// Time in milliseconds after which an idle connection that has been answered is closed.
+const IDLE_TIMEOUT_MS: Millis = 30_000.0;
+/// The same time during a graceful shutdown, in milliseconds.
+const SHUTDOWN_IDLE_TIMEOUT_MS: Millis = 500.0;
+/// Time in milliseconds for which a connection must have been idle since its last response before it may be
+/// evicted to make room for another connection.
+const MIN_IDLE_BEFORE_EVICTION_MS: Millis = 50.0;
+/// Time in milliseconds for which a connection with an incomplete request must have been inactive before it
+/// may be evicted. Until then, clients that wait in the accept queue are not served.
+const MIN_SILENCE_BEFORE_EVICTION_MS: Millis = 100.0;
+
+/// The facts about a client connection that decide whether it may be closed.
+#[derive(Debug, Clone, Copy)]
+pub struct ClientConnectionFacts {
+    /// Number of requests that have been read and whose responses are not written completely.
+    pub open_requests: u32,
+    /// For how many milliseconds a response has been waiting to be written, if there is one.
+    pub unwritten_for_ms: Option<Millis>,
+    /// For how many milliseconds a request has been arriving, if there is one. On a new connection, the first
+    /// request counts as arriving from the accept on.
+    pub incomplete_for_ms: Option<Millis>,
+    /// Time in milliseconds since the connection was accepted or last answered.
+    pub idle_ms: Millis,
+    /// Whether the limiter is shutting down.
+    pub is_shutting_down: bool,
+}
+
+impl ClientConnectionFacts {
+    /// Returns whether the client has not read a response within [`WRITE_TIMEOUT_MS`].
+    fn is_unread(&self) -> bool {
+        self.unwritten_for_ms.is_some_and(|unwritten_ms| unwritten_ms > WRITE_TIMEOUT_MS)
+    }
+
+    /// Returns whether the connection may be closed: either no response would be lost, or the client does not
+    /// read the response.
+    pub fn may_close(&self) -> bool {
+        self.open_requests == 0 || self.is_unread()
+    }
+
+    /// Returns whether no response is outstanding and no request is arriving. An idle connection may be
+    /// closed shortly, because its client sends a request again that has not been read.
+    pub fn is_idle(&self) -> bool {
+        self.open_requests == 0 && self.incomplete_for_ms.is_none()
+    }
+
+    /// Returns whether the connection has to be closed: its request did not arrive in time, its response is
+    /// not being read, or the connection has been idle for too long.
+    pub fn is_overdue(&self) -> bool {
+        let max_idle_ms = if self.is_shutting_down { SHUTDOWN_IDLE_TIMEOUT_MS } else { IDLE_TIMEOUT_MS };
+        let is_request_late =
+            self.incomplete_for_ms.is_some_and(|incomplete_ms| incomplete_ms > INCOMPLETE_REQUEST_TIMEOUT_MS);
+        let is_overdue = is_request_late || self.idle_ms > max_idle_ms || self.is_unread();
+        is_overdue && self.may_close()
+    }
+
+    /// Returns whether the connection may be closed to make room for another connection.
+    pub fn may_evict(&self) -> bool {
+        let min_idle_ms = if self.incomplete_for_ms.is_some() {
+            MIN_SILENCE_BEFORE_EVICTION_MS
+        } else {
+            MIN_IDLE_BEFORE_EVICTION_MS
+        };
+        self.may_close() && self.idle_ms > min_idle_ms
+    }
+
+    /// Returns whether a request is probably in transit: the connection was accepted a moment ago, or the
+    /// next request has begun to arrive right after a response.
+    pub fn expects_request_soon(&self) -> bool {
+        let is_incomplete = self.incomplete_for_ms.is_some();
+        self.open_requests == 0 && is_incomplete && self.idle_ms < MIN_SILENCE_BEFORE_EVICTION_MS
+    }
+
+    /// Returns whether the process has to wait for this connection before it may exit: a response is
+    /// outstanding, or the connection has been answered and is not closed yet. The process does not wait for
+    /// a connection whose request is incomplete: faulty clients open such connections without end, and a
+    /// limiter that waits for them is missing from service for longer.
+    pub fn blocks_shutdown(&self) -> bool {
+        self.open_requests > 0 || self.incomplete_for_ms.is_none()
+    }
+}
--- /dev/null
+++ b/limiter-core/src/rules/shutdown.rs
@@ -0,0 +1,30 @@
+//! Whether a process that shuts down may exit.
+
+use crate::event::Millis;
+
+/// Time in milliseconds between the close of the listener and the exit, in which the requests of the
+/// connections that were accepted last are read.
+const LAST_ACCEPTED_READ_MS: Millis = 50.0;
+/// Longest time in milliseconds from the signal to the exit, whatever is still outstanding.
+const MAX_SHUTDOWN_MS: Millis = 20_000.0;
+
+/// The facts about a process that has received the signal to shut down.
+#[derive(Debug, Clone, Copy)]
+pub struct ShutdownFacts {
+    /// Time in milliseconds since the signal.
+    pub signalled_for_ms: Millis,
+    /// Time in milliseconds since the listener was closed; none while it is open.
+    pub closed_for_ms: Option<Millis>,
+    /// Whether the process has to wait for any connection, see
+    /// [`super::ClientConnectionFacts::blocks_shutdown`].
+    pub has_blocking_connection: bool,
+}
+
+/// Returns whether the process may exit: every request that it accepted has been answered, or the shutdown
+/// has taken longer than `MAX_SHUTDOWN_MS`.
+pub fn may_exit(facts: &ShutdownFacts) -> bool {
+    let has_read_last_accepted =
+        facts.closed_for_ms.is_some_and(|closed_ms| closed_ms >= LAST_ACCEPTED_READ_MS);
+    let is_finished = has_read_last_accepted && !facts.has_blocking_connection;
+    is_finished || facts.signalled_for_ms >= MAX_SHUTDOWN_MS
+}
--- a/test.sh
+++ b/test.sh
@@ -25,6 +25,7 @@
     limiter-core/src/quota/records.rs
     limiter-core/src/request/mod.rs
     limiter-core/src/request/table.rs
+    limiter-core/src/rules/mod.rs
     limiter-core/src/settings.rs
     limiter-core/src/token_bucket.rs
 )
