--- /dev/null
+++ b/limiter-core/src/event/timer.rs
@@ -0,0 +1,84 @@
+//! The token by which a limiter recognizes a timer that it has started.
+
+use std::cmp::Ordering;
+
+use super::RequestId;
+
+/// Identifies the purpose of a timer that a limiter has started.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum TimerToken {
+    /// The periodic control step is due.
+    ControlStep,
+    /// The deadline of a request is near: its final response is due.
+    Deadline(RequestId),
+    /// The latency objective of a request has passed.
+    LatencyObjective(RequestId),
+    /// The server of an attempt is checked for having been silent since the attempt was sent.
+    SilenceCheck(RequestId),
+    /// The reply of a quota owner is late.
+    GrantReply(RequestId),
+    /// The send allowance covers another gossip message.
+    GossipFlush,
+}
+
+/// Number of low bits of an encoded token that hold its kind. The bits above hold the id of the request.
+const KIND_BITS: u32 = 3;
+/// Selects the bits of the kind in an encoded token.
+const KIND_MASK: u64 = (1 << KIND_BITS) - 1;
+
+/// Kinds of tokens in their encoded form. Timers of the same moment fire in the order of the encoded tokens,
+/// so these numbers must not change.
+mod kind {
+    pub(super) const CONTROL_STEP: u64 = 0;
+    pub(super) const DEADLINE: u64 = 1;
+    pub(super) const LATENCY_OBJECTIVE: u64 = 2;
+    pub(super) const SILENCE_CHECK: u64 = 3;
+    pub(super) const GRANT_REPLY: u64 = 4;
+    pub(super) const GOSSIP_FLUSH: u64 = 5;
+}
+
+impl TimerToken {
+    /// Encodes the token as a number, for callers that store or transmit the token.
+    pub fn encode(self) -> u64 {
+        match self {
+            TimerToken::ControlStep => kind::CONTROL_STEP,
+            TimerToken::Deadline(id) => encode_for_request(id, kind::DEADLINE),
+            TimerToken::LatencyObjective(id) => encode_for_request(id, kind::LATENCY_OBJECTIVE),
+            TimerToken::SilenceCheck(id) => encode_for_request(id, kind::SILENCE_CHECK),
+            TimerToken::GrantReply(id) => encode_for_request(id, kind::GRANT_REPLY),
+            TimerToken::GossipFlush => kind::GOSSIP_FLUSH,
+        }
+    }
+
+    /// Decodes a number that [`TimerToken::encode`] returned. Returns none for any other number.
+    pub fn decode(encoded: u64) -> Option<TimerToken> {
+        let id = RequestId::try_from(encoded >> KIND_BITS).ok()?;
+        match encoded & KIND_MASK {
+            kind::CONTROL_STEP if id == 0 => Some(TimerToken::ControlStep),
+            kind::DEADLINE => Some(TimerToken::Deadline(id)),
+            kind::LATENCY_OBJECTIVE => Some(TimerToken::LatencyObjective(id)),
+            kind::SILENCE_CHECK => Some(TimerToken::SilenceCheck(id)),
+            kind::GRANT_REPLY => Some(TimerToken::GrantReply(id)),
+            kind::GOSSIP_FLUSH if id == 0 => Some(TimerToken::GossipFlush),
+            _ => None,
+        }
+    }
+}
+
+/// Encodes a token of a request.
+fn encode_for_request(id: RequestId, kind: u64) -> u64 {
+    u64::from(id) << KIND_BITS | kind
+}
+
+/// Tokens have the order of their encoded form. Timers of the same moment fire in this order.
+impl Ord for TimerToken {
+    fn cmp(&self, other: &Self) -> Ordering {
+        self.encode().cmp(&other.encode())
+    }
+}
+
+impl PartialOrd for TimerToken {
+    fn partial_cmp(&self, other: &Self) -> Option<Ordering> {
+        Some(self.cmp(other))
+    }
+}
--- a/limiter-core/src/rules/client_connections.rs
+++ b/limiter-core/src/rules/client_connections.rs
@@ -6,8 +6,8 @@
 /// how long a client that does not read occupies a connection.
 const WRITE_TIMEOUT_MS: Millis = 10_000.0;
 /// Time in milliseconds within which a request has to arrive completely, counted from its first byte, or from
-/// the accept for the first request of a connection. Clients that stall must be answered or closed within 3
-/// s; the difference is left for the interval at which connections are checked.
+/// the accept for the first request of a connection. Clients that stall must be answered or closed within
+/// 3 s; the difference is left for the interval at which connections are checked.
 pub const INCOMPLETE_REQUEST_TIMEOUT_MS: Millis = 2000.0;
 /// Time in milliseconds after which an idle connection that has been answered is closed.
 const IDLE_TIMEOUT_MS: Millis = 30_000.0;
--- a/test.sh
+++ b/test.sh
@@ -16,7 +16,11 @@
     limiter-core/src/context.rs
     limiter-core/src/decay.rs
     limiter-core/src/endpoints/mod.rs
-    limiter-core/src/event.rs
+    limiter-core/src/event/action.rs
+    limiter-core/src/event/endpoint.rs
+    limiter-core/src/event/mod.rs
+    limiter-core/src/event/request.rs
+    limiter-core/src/event/timer.rs
     limiter-core/src/gossip/codec.rs
     limiter-core/src/gossip/mod.rs
     limiter-core/src/hashing.rs
