--- /dev/null
+++ b/limiter-core/src/settings/plan.rs
@@ -0,0 +1,47 @@
+//! Plans: the quotas of customers.
+
+use crate::event::Millis;
+
+/// A plan: the quotas that each of its customers has, over all limiters together.
+#[derive(Debug, Clone, PartialEq)]
+pub struct Plan {
+    /// Rate quota in units a second; 0 for no rate quota.
+    pub rate: f64,
+    /// Capacity of the token bucket of the rate quota, in units.
+    pub burst: f64,
+    /// Largest number of attempts in flight; 0 for no such quota.
+    pub max_in_flight: u32,
+    /// Rate of the hard ceiling in units a second; 0 for no ceiling.
+    pub ceiling_rate: f64,
+    /// Capacity of the token bucket of the ceiling, in units.
+    pub ceiling_burst: f64,
+    /// Units by which the token bucket of the ceiling may be overdrawn.
+    pub ceiling_slack: f64,
+}
+
+impl Plan {
+    /// Returns whether any quota or ceiling applies.
+    pub fn is_limited(&self) -> bool {
+        self.rate > 0.0 || self.max_in_flight > 0 || self.has_ceiling()
+    }
+
+    /// Returns whether a hard ceiling applies.
+    pub fn has_ceiling(&self) -> bool {
+        self.ceiling_rate > 0.0
+    }
+
+    /// Returns the time in milliseconds in which the slower token bucket of the plan fills from empty.
+    pub fn refill_ms(&self) -> Millis {
+        fill_ms(self.burst, self.rate).max(fill_ms(self.ceiling_burst, self.ceiling_rate))
+    }
+}
+
+/// Returns the time in milliseconds in which a bucket of a capacity fills at a rate in units a second, or 0
+/// without a rate.
+fn fill_ms(capacity: f64, rate: f64) -> Millis {
+    if rate > 0.0 {
+        1000.0 * capacity / rate
+    } else {
+        0.0
+    }
+}
--- a/test.sh
+++ b/test.sh
@@ -30,7 +30,10 @@
     limiter-core/src/request/mod.rs
     limiter-core/src/request/table.rs
     limiter-core/src/rules/mod.rs
-    limiter-core/src/settings.rs
+    limiter-core/src/settings/mod.rs
+    limiter-core/src/settings/plan.rs
+    limiter-core/src/settings/request_class.rs
+    limiter-core/src/settings/validation.rs
     limiter-core/src/token_bucket.rs
 )
 # What deploy/balancer.toml names as policy.
