--- a/limiter-core/src/context.rs
+++ b/limiter-core/src/context.rs
@@ -1,37 +1,38 @@
-//! What every part of a limiter works with: settings, the present moment and random numbers.
+//! What every part of a limiter uses: the settings, the current time and the random numbers.
 
 use crate::event::{Millis, Request};
 use crate::settings::{Plan, RequestClass, Settings};
 
-/// Settings, the present moment and random numbers of one limiter.
+/// The settings, the current time and the random numbers of one limiter.
 #[derive(Debug)]
 pub(crate) struct Context {
-    /// The settings of the start.
+    /// The settings that the limiter was started with.
     pub settings: Settings,
-    /// The moment of the event that is being handled.
+    /// The time of the event that is being handled.
     pub now: Millis,
     /// When this limiter started.
     pub started_at: Millis,
-    /// Tells one start of this limiter from another in gossip: the low bits of `started_at`, which the caller
-    /// must never use again.
+    /// Distinguishes the starts of a limiter in gossip messages: the low 32 bits of `started_at`. The caller
+    /// must never start the limiter at the same position twice with the same value.
     pub incarnation: u32,
-    /// All random draws come from here, so that the same events and seed give the same actions.
+    /// The source of all random draws. The same seed and the same events therefore lead to the same actions.
     pub rng: fastrand::Rng,
 }
 
 impl Context {
-    /// The context of a limiter that starts now.
+    /// Creates the context of a limiter that starts now.
     pub fn new(settings: Settings, seed: u64, now: Millis) -> Self {
-        let (incarnation, rng) = (now as u64 as u32, fastrand::Rng::with_seed(seed));
+        let incarnation = now as u64 as u32;
+        let rng = fastrand::Rng::with_seed(seed);
         Context { settings, now, started_at: now, incarnation, rng }
     }
 
-    /// The class of a request.
+    /// Returns the class of a request.
     pub fn class(&self, request: &Request) -> &RequestClass {
         &self.settings.classes[request.class]
     }
 
-    /// The plan of a request.
+    /// Returns the plan of the customer of a request.
     pub fn plan(&self, request: &Request) -> &Plan {
         &self.settings.plans[request.plan]
     }
--- a/limiter-core/src/dispatch.rs
+++ b/limiter-core/src/dispatch.rs
@@ -1,36 +1,22 @@
-//! Routes each event to the part that decides, and makes the periodic control step.
+//! Routes each event to the part that decides, and runs the periodic control step.
 
 use crate::admission::CONTROL_STEP_MS;
 use crate::event::{Action, Event, Millis, TimerToken};
 use crate::limiter::Limiter;
-use crate::quota::GRANT_VALIDITY_MS;
 use crate::request::{AttemptEnd, AttemptKey};
-use crate::settings::Plan;
 
-/// Longest wait at the start for ceilings to fill.
-const MAX_CEILING_FILL_MS: Millis = 5000.0;
-/// After a pause of so many milliseconds this limiter counts as having stalled.
+/// Time in milliseconds since the last control step after which the process counts as having stalled. Control
+/// steps follow each other every [`CONTROL_STEP_MS`], so a longer pause means that several of them are late.
 const STALL_MS: Millis = 500.0;
 
 impl Limiter {
-    /// Whether clients may come: the ceilings owned here, which start as if spent, have filled, or a peer
-    /// serves already, and is short of this limiter.
-    pub fn is_ready(&self, now: Millis) -> bool {
-        let settings = &self.context.settings;
-        let fill_ms = |p: &Plan| 1000.0 * (p.ceiling_burst + p.ceiling_slack) / p.ceiling_rate;
-        let with_ceiling = settings.plans.iter().filter(|plan| plan.has_ceiling());
-        let longest_ms = with_ceiling.map(|plan| GRANT_VALIDITY_MS + fill_ms(plan)).fold(0.0, f64::max);
-        let age_ms = now - self.context.started_at;
-        self.has_serving_peer || !settings.can_gossip || age_ms >= longest_ms.min(MAX_CEILING_FILL_MS)
-    }
-
-    /// Takes one event in at the moment `now` and adds what is to be done to `out`.
+    /// Handles an event that is delivered at the time `now`, and appends the resulting actions to `out`. The
+    /// caller has to execute the actions in their order.
+    ///
+    /// A time before that of an earlier event counts as the time of that event.
     pub fn handle(&mut self, now: Millis, event: Event, out: &mut Vec<Action>) {
         self.advance_clock(now);
-        if !std::mem::replace(&mut self.is_started, true) {
-            out.push(Action::SetTimer { after_ms: CONTROL_STEP_MS, token: TimerToken::ControlStep });
-            out.extend(self.context.settings.must_subscribe.then_some(Action::SubscribeToEndpoints));
-        }
+        self.start_if_first_event(out);
         match event {
             Event::EndpointsChanged { complete, endpoints } => {
                 self.on_endpoints_changed(complete, &endpoints, out);
@@ -38,7 +24,9 @@
             Event::EndpointsConfigured { endpoints } => self.on_endpoints_configured(&endpoints, out),
             Event::WatchFailed => self.on_watch_failed(out),
             Event::RequestArrived(request) => self.on_request(request, out),
-            Event::ResponseStarted { id } => self.requests.update(id, |pending| pending.is_streaming = true),
+            Event::ResponseStarted { id } => {
+                self.requests.update(id, |pending| pending.is_streaming = true);
+            }
             Event::AttemptEnded { id, attempt, outcome, elapsed_ms, request_finished, actual_units } => {
                 let key = AttemptKey { request: id, number: attempt };
                 let end = AttemptEnd { key, outcome, elapsed_ms, request_finished, actual_units };
@@ -51,13 +39,29 @@
         }
     }
 
+    /// Advances the current time, and records the end of a stall of the process.
     fn advance_clock(&mut self, now: Millis) {
         self.context.now = self.context.now.max(now);
-        if self.context.now - self.last_step_at > STALL_MS {
+        let since_last_step_ms = self.context.now - self.last_step_at;
+        if since_last_step_ms > STALL_MS {
             self.resumed_at = self.context.now;
         }
     }
 
+    /// With the first event, starts the control steps and subscribes to the endpoint list where that is
+    /// required.
+    fn start_if_first_event(&mut self, out: &mut Vec<Action>) {
+        if self.is_started {
+            return;
+        }
+        self.is_started = true;
+        out.push(Action::SetTimer { after_ms: CONTROL_STEP_MS, token: TimerToken::ControlStep });
+        if self.context.settings.must_subscribe {
+            out.push(Action::SubscribeToEndpoints);
+        }
+    }
+
+    /// Handles a timer that has fired.
     fn on_timer(&mut self, token: TimerToken, out: &mut Vec<Action>) {
         match token {
             TimerToken::ControlStep => {
@@ -75,14 +79,15 @@
         }
     }
 
-    /// The periodic work: measurements, slow start, feedback and the expiry of what is remembered.
+    /// Runs the periodic work: the smoothing of measurements, slow start, polls for tombstones, the feedback
+    /// of admission control, the queue, the log of ejections, and the expiry of quota records.
     fn control_step(&mut self, out: &mut Vec<Action>) {
-        self.last_step_at = self.context.now;
-        self.admission.adapt_smoothing(self.context.now);
+        let now = self.context.now;
+        self.last_step_at = now;
+        self.admission.adapt_smoothing(now);
         self.endpoints.update_slow_start(&self.context);
         self.poll_peers_for_tombstones(out);
-        let (now, limiters) = (self.context.now, self.context.settings.limiters);
-        self.admission.step_feedback(now, self.endpoints.len(), limiters);
+        self.admission.step_feedback(now, self.endpoints.len(), self.context.settings.limiters);
         self.drain_queue(out);
         out.extend(self.endpoints.take_ejections().map(Action::LogEjection));
         self.member_quotas.expire(&self.context);
--- a/limiter-core/src/limiter.rs
+++ b/limiter-core/src/limiter.rs
@@ -1,4 +1,4 @@
-//! The limiter: owns the parts that decide. `dispatch` routes events to them.
+//! The limiter: the state of all parts that decide. The event dispatch in `dispatch.rs` connects the parts.
 
 use crate::admission::Admission;
 use crate::context::Context;
@@ -11,50 +11,61 @@
 use crate::request::{RequestTable, RetryBudget};
 use crate::settings::{Settings, SettingsError};
 
-/// The decisions of one limiter. Deterministic: the same seed, events and times give the same actions.
+/// The decisions of one limiter.
+///
+/// A limiter is deterministic: the same settings, seed, events and times lead to the same actions.
 #[derive(Debug)]
 pub struct Limiter {
+    /// Settings, current time and random numbers.
     pub(crate) context: Context,
+    /// Pending requests, attempts in flight and the queue.
     pub(crate) requests: RequestTable,
+    /// Bounds the retries of all requests together.
     pub(crate) retry_budget: RetryBudget,
+    /// Admission control by slots.
     pub(crate) admission: Admission,
+    /// The quotas of which this limiter is a member.
     pub(crate) member_quotas: MemberQuotas,
+    /// The quotas that this limiter owns.
     pub(crate) owned_quotas: OwnedQuotas,
+    /// Gossip messages to send.
     pub(crate) gossip: GossipQueue,
+    /// The announced servers.
     pub(crate) endpoints: Endpoints,
+    /// Servers that drain or have been removed, as reported to peers.
     pub(crate) tombstones: Tombstones,
-    /// When the last response has to be given; infinite before the shutdown.
+    /// When the last response has to be given; infinite until the shutdown starts.
     pub(crate) shutdown_deadline: Millis,
-    /// A peer has been heard that serves requests.
+    /// Whether a gossip message has shown that a peer serves requests.
     pub(crate) has_serving_peer: bool,
-    /// When this limiter last went on after a stall.
+    /// When this limiter last resumed after a stall of its process.
     pub(crate) resumed_at: Millis,
-    /// When the last control step was made.
+    /// When the last control step ran.
     pub(crate) last_step_at: Millis,
-    /// The first event has been handled.
+    /// Whether the first event has been handled.
     pub(crate) is_started: bool,
 }
 
-/// How much a limiter remembers; each is bounded, whatever comes.
+/// The number of records that a limiter holds. Each number is bounded, whatever events arrive.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CacheSizes {
-    /// Quotas of which it is a member.
+    /// Quotas of which the limiter is a member.
     pub member_quotas: usize,
-    /// Quotas that it owns.
+    /// Quotas that the limiter owns.
     pub owner_quotas: usize,
-    /// Decisions that it made as an owner.
+    /// Grant decisions that the limiter has made as an owner.
     pub grants: usize,
     /// Pending requests.
     pub requests: usize,
-    /// Gossip messages that wait to be sent.
+    /// Gossip messages that are queued for sending.
     pub gossip_messages: usize,
 }
 
 impl Limiter {
-    /// A limiter that starts now and draws its random numbers from `seed`.
+    /// Creates a limiter that starts at the time `now` and draws its random numbers from `seed`.
     ///
     /// # Errors
-    /// The first of the settings that cannot be served.
+    /// Returns the first of the settings that cannot be served.
     pub fn new(settings: Settings, seed: u64, now: Millis) -> Result<Self, SettingsError> {
         settings.validate()?;
         Ok(Limiter {
@@ -75,16 +86,18 @@
         })
     }
 
-    /// Tells the limiter at its start what the wall clock reads, in Unix milliseconds. It may be off by as much as a clock
-    /// is ever stepped; without it nothing is known of how long ago servers started.
+    /// Sets the wall clock at the start of the limiter, in Unix milliseconds. The limiter needs the wall
+    /// clock to estimate how long ago servers started, and has no such estimate without it. The wall clock
+    /// may be wrong by as much as clocks are ever stepped.
     #[must_use]
     pub fn with_wall_clock(mut self, unix_ms: Millis) -> Self {
         self.endpoints.set_wall_clock(self.context.now, unix_ms);
         self
     }
 
-    /// Whether a timer still has a purpose. One for a request that has finished, a quota request that was
-    /// answered or an attempt that has ended does nothing when it fires, so that the caller may drop it.
+    /// Returns whether a timer still has a purpose. The timer of a request that has finished, of a quota
+    /// request that has been answered or of an attempt that has ended does nothing when it fires, so the
+    /// caller may drop it.
     pub fn is_live(&self, token: TimerToken) -> bool {
         match token {
             TimerToken::Deadline(id) | TimerToken::LatencyObjective(id) => self.requests.get(id).is_some(),
@@ -96,16 +109,21 @@
         }
     }
 
-    /// Records of servers that routing and the control step have looked at so far: what servers cost that this
-    /// limiter does not use.
+    /// Returns how many records of servers routing and the control step have examined so far. Tests use this
+    /// number to bound the cost of servers that the limiter does not send requests to.
     pub fn num_endpoints_examined(&self) -> u64 {
         self.endpoints.num_examined()
     }
 
-    /// How much is remembered at this moment.
+    /// Returns the number of records that the limiter holds now.
     pub fn cache_sizes(&self) -> CacheSizes {
         let (owner_quotas, grants) = self.owned_quotas.sizes();
-        let (member_quotas, requests) = (self.member_quotas.len(), self.requests.pending.len());
-        CacheSizes { member_quotas, owner_quotas, grants, requests, gossip_messages: self.gossip.len() }
+        CacheSizes {
+            member_quotas: self.member_quotas.len(),
+            owner_quotas,
+            grants,
+            requests: self.requests.pending.len(),
+            gossip_messages: self.gossip.len(),
+        }
     }
 }
