--- a/limiter-core/src/dispatch.rs
+++ b/limiter-core/src/dispatch.rs
@@ -30,7 +30,7 @@
             Event::AttemptEnded { id, attempt, outcome, elapsed_ms, request_finished, actual_units } => {
                 let key = AttemptKey { request: id, number: attempt };
                 let end = AttemptEnd { key, outcome, elapsed_ms, request_finished, actual_units };
-                self.on_attempt_ended(end, out);
+                self.on_attempt_ended(&end, out);
             }
             Event::ClientDisconnected { id } => self.on_client_disconnected(id, out),
             Event::ShutdownStarted { deadline } => self.on_shutdown(deadline, out),
--- a/limiter-core/src/event/request.rs
+++ b/limiter-core/src/event/request.rs
@@ -54,6 +54,7 @@
 
 impl Outcome {
     /// Returns whether the outcome proves that the server did not execute the request.
+    #[must_use]
     pub fn never_executed(self) -> bool {
         matches!(self, Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent)
     }
--- a/limiter-core/src/event/timer.rs
+++ b/limiter-core/src/event/timer.rs
@@ -39,6 +39,7 @@
 
 impl TimerToken {
     /// Encodes the token as a number, for callers that store or transmit the token.
+    #[must_use]
     pub fn encode(self) -> u64 {
         match self {
             TimerToken::ControlStep => kind::CONTROL_STEP,
@@ -51,6 +52,7 @@
     }
 
     /// Decodes a number that [`TimerToken::encode`] returned. Returns none for any other number.
+    #[must_use]
     pub fn decode(encoded: u64) -> Option<TimerToken> {
         let id = RequestId::try_from(encoded >> KIND_BITS).ok()?;
         match encoded & KIND_MASK {
--- a/limiter-core/src/limiter.rs
+++ b/limiter-core/src/limiter.rs
@@ -98,6 +98,7 @@
     /// Returns whether a timer still has a purpose. The timer of a request that has finished, of a quota
     /// request that has been answered or of an attempt that has ended does nothing when it fires, so the
     /// caller may drop it.
+    #[must_use]
     pub fn is_live(&self, token: TimerToken) -> bool {
         match token {
             TimerToken::Deadline(id) | TimerToken::LatencyObjective(id) => self.requests.get(id).is_some(),
@@ -111,11 +112,13 @@
 
     /// Returns how many records of servers routing and the control step have examined so far. Tests use this
     /// number to bound the cost of servers that the limiter does not send requests to.
+    #[must_use]
     pub fn num_endpoints_examined(&self) -> u64 {
         self.endpoints.num_examined()
     }
 
     /// Returns the number of records that the limiter holds now.
+    #[must_use]
     pub fn cache_sizes(&self) -> CacheSizes {
         let (owner_quotas, grants) = self.owned_quotas.sizes();
         CacheSizes {
--- a/limiter-core/src/readiness.rs
+++ b/limiter-core/src/readiness.rs
@@ -16,6 +16,7 @@
     /// incarnation of the limiter may have spent them. The limiter is ready when these buckets have filled.
     /// The limiter is ready at once if a peer serves requests already, because clients then need every
     /// limiter, or if limiters cannot gossip.
+    #[must_use]
     pub fn is_ready(&self, now: Millis) -> bool {
         let age_ms = now - self.context.started_at;
         self.has_serving_peer
--- a/limiter-core/src/request/attempts.rs
+++ b/limiter-core/src/request/attempts.rs
@@ -105,14 +105,14 @@
     }
 
     /// Handles the end of an attempt. The end of an unknown attempt matters only if it finishes the request.
-    pub(crate) fn on_attempt_ended(&mut self, end: AttemptEnd, out: &mut Vec<Action>) {
+    pub(crate) fn on_attempt_ended(&mut self, end: &AttemptEnd, out: &mut Vec<Action>) {
         let is_known = self.requests.attempts.contains_key(&end.key);
         if !is_known && !end.request_finished {
             return;
         }
         let id = end.key.request;
         self.requests.update(id, |pending| pending.actual_units = end.actual_units);
-        self.record_attempt_end(&end);
+        self.record_attempt_end(end);
         if end.request_finished || end.outcome == Outcome::Ok {
             self.remove_and_settle(id, out);
         } else {
--- a/limiter-core/src/rules/client_connections.rs
+++ b/limiter-core/src/rules/client_connections.rs
@@ -44,18 +44,21 @@
 
     /// Returns whether the connection may be closed: either no response would be lost, or the client does not
     /// read the response.
+    #[must_use]
     pub fn may_close(&self) -> bool {
         self.open_requests == 0 || self.is_unread()
     }
 
     /// Returns whether no response is outstanding and no request is arriving. An idle connection may be
     /// closed shortly, because its client sends a request again that has not been read.
+    #[must_use]
     pub fn is_idle(&self) -> bool {
         self.open_requests == 0 && self.incomplete_for_ms.is_none()
     }
 
     /// Returns whether the connection has to be closed: its request did not arrive in time, its response is
     /// not being read, or the connection has been idle for too long.
+    #[must_use]
     pub fn is_overdue(&self) -> bool {
         let max_idle_ms = if self.is_shutting_down { SHUTDOWN_IDLE_TIMEOUT_MS } else { IDLE_TIMEOUT_MS };
         let is_request_late =
@@ -65,6 +68,7 @@
     }
 
     /// Returns whether the connection may be closed to make room for another connection.
+    #[must_use]
     pub fn may_evict(&self) -> bool {
         let min_idle_ms = if self.incomplete_for_ms.is_some() {
             MIN_SILENCE_BEFORE_EVICTION_MS
@@ -76,6 +80,7 @@
 
     /// Returns whether a request is probably in transit: the connection was accepted a moment ago, or the
     /// next request has begun to arrive right after a response.
+    #[must_use]
     pub fn expects_request_soon(&self) -> bool {
         let is_incomplete = self.incomplete_for_ms.is_some();
         self.open_requests == 0 && is_incomplete && self.idle_ms < MIN_SILENCE_BEFORE_EVICTION_MS
@@ -85,6 +90,7 @@
     /// outstanding, or the connection has been answered and is not closed yet. The process does not wait for
     /// a connection whose request is incomplete: faulty clients open such connections without end, and a
     /// limiter that waits for them is missing from service for longer.
+    #[must_use]
     pub fn blocks_shutdown(&self) -> bool {
         self.open_requests > 0 || self.incomplete_for_ms.is_none()
     }
--- a/limiter-core/src/rules/server_connections.rs
+++ b/limiter-core/src/rules/server_connections.rs
@@ -18,11 +18,13 @@
 
 impl ServerConnectionFacts {
     /// Returns whether the connection may not carry the next request yet.
+    #[must_use]
     pub fn is_in_reuse_delay(&self) -> bool {
         self.idle_ms < CONNECTION_REUSE_DELAY_MS
     }
 
     /// Returns whether the connection has been idle for so long that the server may close it at any moment.
+    #[must_use]
     pub fn is_expired(&self) -> bool {
         self.idle_ms >= self.max_idle_ms
     }
--- a/limiter-core/src/rules/shutdown.rs
+++ b/limiter-core/src/rules/shutdown.rs
@@ -22,6 +22,7 @@
 
 /// Returns whether the process may exit: every request that it accepted has been answered, or the shutdown
 /// has taken longer than `MAX_SHUTDOWN_MS`.
+#[must_use]
 pub fn may_exit(facts: &ShutdownFacts) -> bool {
     let has_read_last_accepted =
         facts.closed_for_ms.is_some_and(|closed_ms| closed_ms >= LAST_ACCEPTED_READ_MS);
--- a/limiter-core/src/settings/plan.rs
+++ b/limiter-core/src/settings/plan.rs
@@ -21,16 +21,19 @@
 
 impl Plan {
     /// Returns whether any quota or ceiling applies.
+    #[must_use]
     pub fn is_limited(&self) -> bool {
         self.rate > 0.0 || self.max_in_flight > 0 || self.has_ceiling()
     }
 
     /// Returns whether a hard ceiling applies.
+    #[must_use]
     pub fn has_ceiling(&self) -> bool {
         self.ceiling_rate > 0.0
     }
 
     /// Returns the time in milliseconds in which the slower token bucket of the plan fills from empty.
+    #[must_use]
     pub fn refill_ms(&self) -> Millis {
         fill_ms(self.burst, self.rate).max(fill_ms(self.ceiling_burst, self.ceiling_rate))
     }
