--- a/limiter-core/tests/common/mod.rs
+++ b/limiter-core/tests/common/mod.rs
@@ -1,6 +1,6 @@
-//! Fixtures and in-process stand-ins: one limiter with a clock, several with a network between them, and a fleet of
-//! them with servers and clients.
-// Each test file is a crate of its own and uses a part of this module.
+//! Fixtures and in-process stand-ins: one limiter with a clock, several limiters with a network between them,
+//! and a fleet of limiters with servers and clients.
+// Each test file is a separate crate and uses a part of this module.
 #![allow(dead_code, unused_imports)]
 
 mod actions;
@@ -17,7 +17,7 @@
 pub use test_limiter::*;
 pub use test_network::*;
 
-/// Removes and returns what is due, in its order.
+/// Removes the items that are due and returns them in their order.
 fn take_due<T>(pending: &mut Vec<T>, is_due: impl Fn(&T) -> bool) -> Vec<T> {
     let (due, later) = std::mem::take(pending).into_iter().partition(is_due);
     *pending = later;
--- a/limiter-core/tests/common/test_limiter.rs
+++ b/limiter-core/tests/common/test_limiter.rs
@@ -1,21 +1,22 @@
-//! One limiter and its clock.
+//! One limiter with its clock and timers.
 
 use limiter_core::*;
 
 use super::{attempt_ended, endpoint, endpoints_changed, endpoints_replaced};
 
-/// How long an attempt has taken whose cancellation the limiter asked for.
+/// How long a cancelled attempt is reported to have taken.
 const CANCELLED_ATTEMPT_MS: Millis = 1000.0;
-/// When limiters start, unless a test says otherwise.
+/// When limiters start by default.
 const START_MS: Millis = 100_000.0;
 
+/// A timer that the limiter has started.
 struct Timer {
     due_at: Millis,
     token: TimerToken,
 }
 
-/// A limiter with a clock that the test advances. Timers fire when they are due, and an attempt that the limiter
-/// cancels ends at once.
+/// A limiter with a clock that the test advances. Timers fire when they are due, and an attempt that the
+/// limiter cancels ends immediately.
 pub struct TestLimiter {
     pub limiter: Limiter,
     pub now: Millis,
@@ -23,31 +24,33 @@
 }
 
 impl TestLimiter {
-    /// Starts a limiter before servers 0 to `servers`; its seed follows from its position.
+    /// Starts a limiter to which the first `servers` servers are announced. The seed depends on the position.
     pub fn new(settings: Settings, servers: u32) -> Self {
         let seed = 1 + u64::from(settings.position);
         TestLimiter::started_at(START_MS, settings, seed, servers)
     }
 
-    /// Starts a limiter to which nothing has been announced.
+    /// Starts a limiter to which no servers are announced.
     pub fn without_endpoints(now: Millis, settings: Settings) -> Self {
         let seed = 1 + u64::from(settings.position);
         TestLimiter::of(Limiter::new(settings, seed, now).expect("valid settings"), now)
     }
 
-    /// Takes over a limiter that starts now.
+    /// Wraps a limiter that starts now.
     pub fn of(limiter: Limiter, now: Millis) -> Self {
         TestLimiter { limiter, now, timers: Vec::new() }
     }
 
+    /// Starts a limiter at a given time with a given seed, to which the first `servers` servers are
+    /// announced.
     pub fn started_at(now: Millis, settings: Settings, seed: u64, servers: u32) -> Self {
         let limiter = Limiter::new(settings, seed, now).expect("valid settings");
-        let mut started = TestLimiter { limiter, now, timers: Vec::new() };
+        let mut started = TestLimiter::of(limiter, now);
         started.replace_endpoints((0..servers).map(endpoint).collect());
         started
     }
 
-    /// Handles an event; starting timers and logging are left out of what comes back.
+    /// Handles an event and returns the actions, without those that start timers and log ejections.
     pub fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.limiter.handle(self.now, event, &mut actions);
@@ -63,18 +66,18 @@
         actions
     }
 
-    /// Timers that have been started and whose firing would still matter.
+    /// Returns the number of timers that still have a purpose.
     pub fn num_live_timers(&self) -> usize {
         self.timers.iter().filter(|timer| self.limiter.is_live(timer.token)).count()
     }
 
-    /// Lets time pass; the timers that are due by then fire in their order.
+    /// Advances the clock. The timers that become due fire in the order of their times.
     pub fn advance(&mut self, ms: Millis) -> Vec<Action> {
         let end = self.now + ms;
         let mut actions = Vec::new();
         while let Some(timer) = self.next_timer(end) {
             self.now = self.now.max(timer.due_at);
-            // A caller may leave out the firing of a timer that is not live: it must have no effect.
+            // A caller may drop a timer that is not live, so such a timer must have no effect.
             let is_live = self.limiter.is_live(timer.token);
             let effects = self.handle(Event::TimerFired { token: timer.token });
             assert!(is_live || effects.is_empty(), "a timer that was not live led to {effects:?}");
@@ -84,28 +87,35 @@
         actions
     }
 
+    /// Removes and returns the earliest timer that is due by a given time.
     fn next_timer(&mut self, until: Millis) -> Option<Timer> {
         let by_time = |a: &usize, b: &usize| self.timers[*a].due_at.total_cmp(&self.timers[*b].due_at);
         let next = (0..self.timers.len()).min_by(by_time)?;
-        (self.timers[next].due_at <= until).then(|| self.timers.remove(next))
+        let is_due = self.timers[next].due_at <= until;
+        is_due.then(|| self.timers.remove(next))
     }
 
+    /// Announces a complete endpoint list.
     pub fn replace_endpoints(&mut self, endpoints: Vec<Endpoint>) -> Vec<Action> {
         self.handle(endpoints_replaced(endpoints))
     }
 
+    /// Announces a change of some servers.
     pub fn change_endpoints(&mut self, endpoints: Vec<Endpoint>) -> Vec<Action> {
         self.handle(endpoints_changed(endpoints))
     }
 
+    /// Submits a request.
     pub fn submit(&mut self, request: Request) -> Vec<Action> {
         self.handle(Event::RequestArrived(request))
     }
 
+    /// Delivers a gossip message.
     pub fn receive_gossip(&mut self, from: u32, body: Vec<u8>) -> Vec<Action> {
         self.handle(Event::GossipReceived { from, body })
     }
 
+    /// Reports the end of an attempt.
     pub fn end_attempt(
         &mut self,
         id: RequestId,
@@ -116,13 +126,13 @@
         self.handle(attempt_ended(id, attempt, outcome, elapsed_ms))
     }
 
-    /// The first attempt of a request has a good response.
+    /// Reports a good response to the first attempt of a request.
     pub fn respond(&mut self, id: RequestId, elapsed_ms: Millis) -> Vec<Action> {
         self.end_attempt(id, 0, Outcome::Ok, elapsed_ms)
     }
 }
 
-/// The ends of the attempts that were cancelled, as the program reports them.
+/// Returns the ends of the attempts that were cancelled, as the program reports them.
 fn ends_of_cancelled(actions: &[Action]) -> Vec<Event> {
     let end = |action: &Action| match action {
         Action::CancelAttempt { id, attempt } => {
--- a/limiter-core/tests/request_lifecycle.rs
+++ b/limiter-core/tests/request_lifecycle.rs
@@ -1,44 +1,45 @@
-//! The life of one request at one limiter: its one final response in time, retries that are safe, and timers.
+//! The path of one request through one limiter: exactly one final response before the deadline, retries only
+//! where they are safe, and timers.
 
 mod common;
 use common::*;
 use limiter_core::*;
 
 #[test]
-fn a_request_without_any_server_is_rejected_before_its_client_gives_up() {
+fn a_request_without_any_server_is_rejected_before_its_client_times_out() {
     let mut limiter = TestLimiter::new(settings(0), 0);
-    assert!(limiter.submit(request(1, IDEMPOTENT, UNLIMITED)).is_empty(), "queued at first");
+    assert!(limiter.submit(request(1, IDEMPOTENT, UNLIMITED)).is_empty(), "the request is queued at first");
     assert!(is_rejected(&limiter.advance(2999.0)));
 }
 
 #[test]
-fn an_attempt_in_flight_at_the_deadline_ends_in_one_response_in_time() {
+fn a_request_in_flight_at_its_deadline_has_exactly_one_final_response() {
     let mut settings = settings(0);
     settings.classes[NON_IDEMPOTENT].late_value = 0.2;
     let mut limiter = TestLimiter::new(settings, 3);
     assert_eq!(forwarded_to(&limiter.submit(request(1, NON_IDEMPOTENT, UNLIMITED))).len(), 1);
     assert!(!is_failed(&limiter.advance(2900.0)), "a late response still has a value");
     let at_deadline = limiter.advance(98.0);
-    assert!(is_failed(&at_deadline) && !is_rejected(&at_deadline), "it may have run: no promise");
+    assert!(is_failed(&at_deadline), "the request is answered at its deadline");
+    assert!(!is_rejected(&at_deadline), "the request may have been executed, so that a retry is not safe");
     let later = limiter.advance(5000.0);
-    assert!(
-        later.iter().all(|action| matches!(action, Action::SendGossip { .. })),
-        "nothing after the final response"
-    );
+    let is_gossip = |action: &Action| matches!(action, Action::SendGossip { .. });
+    assert!(later.iter().all(is_gossip), "nothing happens after the final response");
 }
 
 #[test]
-fn a_non_idempotent_request_that_may_have_run_is_not_retried() {
+fn a_non_idempotent_request_that_may_have_been_executed_is_not_retried() {
     for outcome in [Outcome::Error, Outcome::TimedOut, Outcome::ConnectionLost, Outcome::Cancelled] {
         let mut limiter = TestLimiter::new(settings(0), 3);
         limiter.submit(request(1, NON_IDEMPOTENT, UNLIMITED));
         let actions = limiter.end_attempt(1, 0, outcome, 5.0);
-        assert!(is_failed(&actions) && !is_forwarded(&actions), "{outcome:?}");
+        assert!(is_failed(&actions), "{outcome:?}");
+        assert!(!is_forwarded(&actions), "{outcome:?}");
     }
 }
 
 #[test]
-fn a_non_idempotent_request_that_never_ran_is_retried_at_another_server() {
+fn a_non_idempotent_request_that_was_not_executed_is_retried_at_another_server() {
     for outcome in [Outcome::Rejected, Outcome::ConnectFailed] {
         let mut limiter = TestLimiter::new(settings(0), 3);
         let first = forwarded_to(&limiter.submit(request(1, NON_IDEMPOTENT, UNLIMITED)));
@@ -50,22 +51,26 @@
 
 #[test]
 fn a_request_with_a_key_is_not_retried_after_its_dedup_window() {
+    let in_window = end_keyed_attempt_after(200.0);
+    assert_eq!(forwarded_to(&in_window).len(), 1, "retried inside the window");
+    let after_window = end_keyed_attempt_after(310.0);
+    assert!(!is_forwarded(&after_window), "not retried after the window");
+    assert!(is_failed(&after_window));
+}
+
+/// Forwards a request with a key, whose deduplication window is 300 ms, and returns the actions after an
+/// error of the server at the given time.
+fn end_keyed_attempt_after(elapsed_ms: Millis) -> Vec<Action> {
     let mut settings = settings(0);
     settings.classes[WITH_KEY].dedup_window_ms = 300.0;
-    let mut limiter = TestLimiter::new(settings.clone(), 3);
-    limiter.submit(request(1, WITH_KEY, UNLIMITED));
-    limiter.advance(200.0);
-    let inside = limiter.end_attempt(1, 0, Outcome::Error, 200.0);
-    assert_eq!(forwarded_to(&inside).len(), 1, "inside the window");
     let mut limiter = TestLimiter::new(settings, 3);
     limiter.submit(request(1, WITH_KEY, UNLIMITED));
-    limiter.advance(310.0);
-    let after = limiter.end_attempt(1, 0, Outcome::Error, 310.0);
-    assert!(!is_forwarded(&after) && is_failed(&after));
+    limiter.advance(elapsed_ms);
+    limiter.end_attempt(1, 0, Outcome::Error, elapsed_ms)
 }
 
 #[test]
-fn a_request_with_a_key_that_may_have_run_stays_in_its_dedup_scope() {
+fn a_request_with_a_key_that_may_have_been_executed_stays_in_its_dedup_scope() {
     let mut settings = settings(0);
     settings.classes[WITH_KEY].dedup_scope = DedupScope::Zone;
     let mut limiter = TestLimiter::new(settings, 0);
@@ -73,7 +78,7 @@
     limiter.replace_endpoints(vec![endpoint(1), in_other_zone]);
     let first = forwarded_to(&limiter.submit(request(1, WITH_KEY, UNLIMITED)));
     let retry = forwarded_to(&limiter.end_attempt(1, 0, Outcome::Error, 5.0));
-    assert_eq!(first, retry, "only the server of the same zone drops the duplicate");
+    assert_eq!(first, retry, "only the server in the same zone drops the duplicate");
 }
 
 #[test]
@@ -83,11 +88,15 @@
     let mut limiter = TestLimiter::new(settings, 1);
     limiter.submit(request(1, WITH_KEY, UNLIMITED));
     limiter.replace_endpoints(vec![]);
-    assert!(limiter.end_attempt(1, 0, Outcome::Error, 5.0).is_empty(), "queued: no server is left");
+    assert!(
+        limiter.end_attempt(1, 0, Outcome::Error, 5.0).is_empty(),
+        "the retry is queued: no server is left"
+    );
     let mut actions = limiter.advance(150.0);
     limiter.now += 100.0;
     actions.extend(limiter.replace_endpoints(vec![endpoint(2)]));
-    assert!(!is_forwarded(&actions) && is_failed(&actions));
+    assert!(!is_forwarded(&actions), "the window ended while the retry was queued");
+    assert!(is_failed(&actions));
 }
 
 #[test]
@@ -100,57 +109,48 @@
 }
 
 #[test]
-fn a_second_outcome_of_an_attempt_changes_nothing() {
+fn a_second_outcome_of_an_attempt_is_ignored() {
     let mut limiter = TestLimiter::new(settings(0), 3);
     limiter.submit(request(1, IDEMPOTENT, UNLIMITED));
     assert_eq!(forwarded_to(&limiter.end_attempt(1, 0, Outcome::Error, 5.0)).len(), 1);
-    assert!(limiter.end_attempt(1, 0, Outcome::Error, 5.0).is_empty(), "attempt 1 is still in flight");
+    let repeated = limiter.end_attempt(1, 0, Outcome::Error, 5.0);
+    assert!(repeated.is_empty(), "attempt 1 is still in flight");
 }
 
-/// Guards against a process woken for every timer of requests that ended long ago.
+/// Guards against a process that is woken for every timer of requests that finished long ago.
 #[test]
 fn timers_of_a_finished_request_are_not_live() {
     let mut limiter = TestLimiter::new(settings(0), 3);
     let num_before = limiter.num_live_timers();
     limiter.submit(request(1, IDEMPOTENT, UNLIMITED));
-    assert!(
-        limiter.num_live_timers() >= num_before + 3,
-        "its deadline, its latency objective and the silence of its server"
-    );
+    let num_pending = limiter.num_live_timers();
+    assert!(num_pending >= num_before + 3, "its deadline, its latency objective and its silence check");
     limiter.respond(1, 50.0);
     assert_eq!(limiter.num_live_timers(), num_before);
 }
 
-/// A rejection comes at once and says when to retry, where clients may be told.
+/// Clients are advised when to retry only where the settings allow that.
 #[test]
 fn a_rejection_says_when_to_retry() {
-    let retry_after_ms = |can_send_retry_after: bool, plan: usize| {
-        let settings = Settings { can_send_retry_after, ..settings_of_only_limiter() };
-        let mut limiter = TestLimiter::new(settings, 0);
-        let request = Request { cost_units: 2.0, member_count: 1, ..request(1, IDEMPOTENT, plan) };
-        let mut actions = limiter.submit(request);
-        actions.extend(limiter.advance(3000.0));
-        actions.iter().find_map(|action| match action {
-            Action::Reject { retry_after_ms, .. } => Some(*retry_after_ms),
-            _ => None,
-        })
-    };
-    assert_eq!(retry_after_ms(true, WITH_RATE), Some(2000.0 / 6.0));
-    assert_eq!(retry_after_ms(true, UNLIMITED), Some(250.0));
-    assert_eq!(retry_after_ms(false, WITH_RATE), Some(0.0));
+    assert_eq!(retry_after_ms(true, WITH_RATE), Some(2000.0 / 6.0), "the refill of 2 units at 6 a second");
+    assert_eq!(retry_after_ms(true, UNLIMITED), Some(250.0), "the longest time in the queue");
+    assert_eq!(retry_after_ms(false, WITH_RATE), Some(0.0), "no advice");
 }
 
-#[test]
-fn events_of_unknown_requests_change_nothing() {
-    let mut limiter = TestLimiter::new(settings(0), 3);
-    assert!(limiter.end_attempt(5, 0, Outcome::Ok, 1.0).is_empty());
-    assert!(limiter.handle(Event::ClientDisconnected { id: 5 }).is_empty());
-    assert!(limiter.handle(Event::ResponseStarted { id: 5 }).is_empty());
-    for token in TOKENS_OF_UNKNOWN_REQUEST {
-        assert!(limiter.handle(Event::TimerFired { token }).is_empty(), "{token:?}");
-    }
+/// Returns the advice in the rejection of a request of two units for which there is no server.
+fn retry_after_ms(can_send_retry_after: bool, plan: usize) -> Option<Millis> {
+    let settings = Settings { can_send_retry_after, ..settings_of_only_limiter() };
+    let mut limiter = TestLimiter::new(settings, 0);
+    let request = Request { cost_units: 2.0, member_count: 1, ..request(1, IDEMPOTENT, plan) };
+    let mut actions = limiter.submit(request);
+    actions.extend(limiter.advance(3000.0));
+    actions.iter().find_map(|action| match action {
+        Action::Reject { retry_after_ms, .. } => Some(*retry_after_ms),
+        _ => None,
+    })
 }
 
+/// The timers of a request that does not exist.
 const TOKENS_OF_UNKNOWN_REQUEST: [TimerToken; 4] = [
     TimerToken::Deadline(5),
     TimerToken::LatencyObjective(5),
@@ -159,12 +159,13 @@
 ];
 
 #[test]
-fn a_timer_token_survives_its_encoding_and_other_numbers_are_none() {
+fn events_of_unknown_requests_change_nothing() {
+    let mut limiter = TestLimiter::new(settings(0), 3);
+    assert!(limiter.end_attempt(5, 0, Outcome::Ok, 1.0).is_empty());
+    assert!(limiter.handle(Event::ClientDisconnected { id: 5 }).is_empty());
+    assert!(limiter.handle(Event::ResponseStarted { id: 5 }).is_empty());
     for token in TOKENS_OF_UNKNOWN_REQUEST {
-        assert_eq!(TimerToken::decode(token.encode()), Some(token));
-    }
-    for no_token in [6, 7, 8, 13, u64::MAX >> 1, u64::MAX] {
-        assert_eq!(TimerToken::decode(no_token), None);
+        assert!(limiter.handle(Event::TimerFired { token }).is_empty(), "{token:?}");
     }
 }
 
@@ -172,26 +173,25 @@
 fn a_request_whose_id_is_in_use_is_not_forwarded() {
     let mut limiter = TestLimiter::new(settings(0), 3);
     limiter.submit(request(1, IDEMPOTENT, UNLIMITED));
-    assert!(
-        limiter.submit(request(1, IDEMPOTENT, UNLIMITED)).is_empty(),
-        "no id is forwarded twice by mistake"
-    );
+    let repeated = limiter.submit(request(1, IDEMPOTENT, UNLIMITED));
+    assert!(repeated.is_empty(), "no id is forwarded twice by mistake");
 }
 
-/// Settings whose requests with a key stay among the servers of one zone or cell.
+/// Settings whose servers drop the duplicates of a key together in each scope.
 fn settings_with_dedup_scope(scope: DedupScope) -> Settings {
     let mut settings = settings_of_only_limiter();
     settings.classes[WITH_KEY].dedup_scope = scope;
     settings
 }
 
-/// A server in zone and cell 7 both.
+/// A server in zone 7 and cell 7.
 fn in_seventh(n: u32) -> Endpoint {
     Endpoint { zone: 7, cell: 7, ..endpoint(n) }
 }
 
-/// Forwards request 1, which has a key, to server 0 in zone and cell 7, changes the endpoint list, and has the attempt
-/// end by a reset; where the retry is forwarded to.
+/// Forwards request 1, which has a key, to server 0 in zone 7 and cell 7, applies a change of the endpoint
+/// list, and ends the attempt by the loss of its connection. Returns the servers that the retry is forwarded
+/// to.
 fn retried_after_change(scope: DedupScope, change: Vec<Endpoint>) -> Vec<ServerId> {
     let mut limiter = TestLimiter::new(settings_with_dedup_scope(scope), 0);
     limiter.change_endpoints(vec![in_seventh(0)]);
@@ -200,44 +200,49 @@
     forwarded_to(&limiter.end_attempt(1, 0, Outcome::ConnectionLost, 20.0))
 }
 
-/// Guards against the place of an attempt's server being looked up when it ends: the server may be gone by then.
+/// Guards against looking up the location of the server when the attempt ends: the server may be removed by
+/// then.
 #[test]
 fn a_keyed_retry_stays_in_its_scope_though_its_server_was_removed() {
     let removed = Endpoint { state: EndpointState::Removed, ..in_seventh(0) };
     for scope in [DedupScope::Zone, DedupScope::Cell] {
         let elsewhere = vec![removed.clone(), endpoint(1), endpoint(2)];
-        assert!(retried_after_change(scope, elsewhere).is_empty(), "{scope:?}: retried in another one");
+        assert!(retried_after_change(scope, elsewhere).is_empty(), "{scope:?}: retried in another scope");
         let with_one_inside = vec![removed.clone(), endpoint(1), endpoint(2), in_seventh(3)];
         assert_eq!(retried_after_change(scope, with_one_inside), [server(3)], "{scope:?}");
     }
 }
 
-/// The same for a server that is announced at another place while it has the request.
+/// The same for a server that is announced at another location while the attempt is in flight.
 #[test]
 fn a_keyed_retry_stays_in_its_scope_though_its_server_has_moved() {
     for scope in [DedupScope::Zone, DedupScope::Cell] {
         let moved = vec![endpoint(0), endpoint(1)];
-        assert!(retried_after_change(scope, moved).is_empty(), "{scope:?}: retried in another one");
+        assert!(retried_after_change(scope, moved).is_empty(), "{scope:?}: retried in another scope");
         let with_one_inside = vec![endpoint(0), endpoint(1), in_seventh(3)];
         assert_eq!(retried_after_change(scope, with_one_inside), [server(3)], "{scope:?}");
     }
 }
 
-/// Deadline and latency objective count from the arrival of a request, which may have waited before it was submitted.
+/// A request may have waited for an earlier one of its connection, or for a stalled process.
 #[test]
-fn a_request_that_has_waited_has_so_much_less_time() {
-    let submitted_after = |waited_ms| {
-        let mut limiter = TestLimiter::new(settings_of_only_limiter(), 1);
-        let submitted = limiter.submit(Request { waited_ms, ..request(1, IDEMPOTENT, UNLIMITED) });
-        (limiter, submitted)
-    };
-    let (mut limiter, submitted) = submitted_after(700.0);
-    assert!(is_forwarded(&submitted));
+fn the_latency_objective_counts_from_the_arrival_of_a_request() {
+    let mut limiter = TestLimiter::new(settings_of_only_limiter(), 1);
+    assert!(is_forwarded(&submit_after_wait(&mut limiter, 700.0)));
     assert!(!is_rejected(&limiter.advance(250.0)), "its objective of 1 s has not passed");
-    assert!(
-        is_rejected(&limiter.advance(100.0)),
-        "its objective has passed, and a later response has no value"
-    );
-    let (_, submitted) = submitted_after(1100.0);
-    assert!(is_rejected(&submitted) && !is_forwarded(&submitted), "its objective had passed on arrival");
+    let after_objective = limiter.advance(100.0);
+    assert!(is_rejected(&after_objective), "its objective has passed, and a later response has no value");
+}
+
+#[test]
+fn a_request_that_is_overdue_on_arrival_is_rejected_at_once() {
+    let mut limiter = TestLimiter::new(settings_of_only_limiter(), 1);
+    let submitted = submit_after_wait(&mut limiter, 1100.0);
+    assert!(is_rejected(&submitted), "its objective had passed on arrival");
+    assert!(!is_forwarded(&submitted));
+}
+
+/// Submits a request that arrived some time ago.
+fn submit_after_wait(limiter: &mut TestLimiter, waited_ms: Millis) -> Vec<Action> {
+    limiter.submit(Request { waited_ms, ..request(1, IDEMPOTENT, UNLIMITED) })
 }
--- a/limiter-core/tests/rules.rs
+++ b/limiter-core/tests/rules.rs
@@ -1,9 +1,10 @@
-//! What may be sent, repeated, closed or ended at a moment.
+//! The rules on what may be sent, executed again, closed or ended at a moment.
 
 use limiter_core::rules::*;
 use limiter_core::Idempotency;
 
-const AT_REST: ClientConnectionFacts = ClientConnectionFacts {
+/// A connection between two requests.
+const IDLE: ClientConnectionFacts = ClientConnectionFacts {
     open_requests: 0,
     unwritten_for_ms: None,
     incomplete_for_ms: None,
@@ -12,25 +13,36 @@
 };
 
 #[test]
-fn a_connection_with_an_open_request_is_closed_only_if_its_response_is_not_read() {
-    let open = ClientConnectionFacts { open_requests: 1, idle_ms: 60_000.0, ..AT_REST };
-    assert!(!open.may_close() && !open.is_overdue() && !open.may_evict() && open.blocks_shutdown());
-    let is_overdue = |unwritten_ms| {
-        ClientConnectionFacts { unwritten_for_ms: Some(unwritten_ms), idle_ms: unwritten_ms, ..open }
-            .is_overdue()
+fn a_connection_with_an_open_request_is_not_closed() {
+    let open = ClientConnectionFacts { open_requests: 1, idle_ms: 60_000.0, ..IDLE };
+    assert!(!open.may_close());
+    assert!(!open.is_overdue());
+    assert!(!open.may_evict());
+    assert!(open.blocks_shutdown());
+}
+
+#[test]
+fn a_connection_whose_response_is_not_read_is_overdue_after_10_s() {
+    let unread_for = |unwritten_ms| ClientConnectionFacts {
+        open_requests: 1,
+        unwritten_for_ms: Some(unwritten_ms),
+        idle_ms: unwritten_ms,
+        ..IDLE
     };
-    assert!(!is_overdue(9_900.0), "its client may still read");
-    assert!(is_overdue(10_100.0), "not only after the 30 s of an idle connection");
+    assert!(!unread_for(9_900.0).is_overdue(), "the client may still read the response");
+    assert!(unread_for(10_100.0).is_overdue(), "closed earlier than an idle connection, after 30 s");
 }
 
 #[test]
 fn a_request_that_stays_incomplete_is_overdue_within_3_s() {
-    let incomplete = |ms| ClientConnectionFacts { incomplete_for_ms: Some(ms), idle_ms: ms, ..AT_REST };
-    assert!(!incomplete(1_900.0).is_overdue());
-    assert!(incomplete(2_100.0).is_overdue() && !incomplete(2_100.0).blocks_shutdown());
+    let incomplete_for = |ms| ClientConnectionFacts { incomplete_for_ms: Some(ms), idle_ms: ms, ..IDLE };
+    assert!(!incomplete_for(1_900.0).is_overdue());
+    assert!(incomplete_for(2_100.0).is_overdue());
+    assert!(!incomplete_for(2_100.0).blocks_shutdown());
 }
 
-const FIRST: AttemptFacts = AttemptFacts {
+/// The facts of a request that may be attempted for the first time.
+const FIRST_ATTEMPT: AttemptFacts = AttemptFacts {
     has_attempt_in_flight: false,
     is_streaming: false,
     deadline_in_ms: 100.0,
@@ -45,25 +57,25 @@
 };
 
 #[test]
-fn an_attempt_is_refused_for_each_reason_alone() {
-    assert_eq!(may_attempt(&FIRST), Ok(()));
-    let executed = ExecutionFacts { may_have_executed: true, ..FIRST.repeat };
+fn an_attempt_is_denied_for_each_reason_alone() {
+    assert_eq!(may_attempt(&FIRST_ATTEMPT), Ok(()));
+    let executed = ExecutionFacts { may_have_executed: true, ..FIRST_ATTEMPT.repeat };
     let keyed = ExecutionFacts { idempotency: Idempotency::WithKey, dedup_ends_in_ms: 0.0, ..executed };
-    for (facts, refusal) in [
-        (AttemptFacts { has_attempt_in_flight: true, ..FIRST }, AttemptDenied::AnotherInFlight),
-        (AttemptFacts { is_streaming: true, ..FIRST }, AttemptDenied::ResponseBegun),
-        (AttemptFacts { deadline_in_ms: 0.0, ..FIRST }, AttemptDenied::DeadlinePassed),
-        (AttemptFacts { attempts: 3, ..FIRST }, AttemptDenied::AttemptsExhausted),
-        (AttemptFacts { has_no_value: true, ..FIRST }, AttemptDenied::NoValueLeft),
-        (AttemptFacts { repeat: executed, ..FIRST }, AttemptDenied::MayHaveExecuted),
-        (AttemptFacts { repeat: keyed, ..FIRST }, AttemptDenied::DedupWindowOver),
+    for (facts, denied) in [
+        (AttemptFacts { has_attempt_in_flight: true, ..FIRST_ATTEMPT }, AttemptDenied::AnotherInFlight),
+        (AttemptFacts { is_streaming: true, ..FIRST_ATTEMPT }, AttemptDenied::ResponseBegun),
+        (AttemptFacts { deadline_in_ms: 0.0, ..FIRST_ATTEMPT }, AttemptDenied::DeadlinePassed),
+        (AttemptFacts { attempts: 3, ..FIRST_ATTEMPT }, AttemptDenied::AttemptsExhausted),
+        (AttemptFacts { has_no_value: true, ..FIRST_ATTEMPT }, AttemptDenied::NoValueLeft),
+        (AttemptFacts { repeat: executed, ..FIRST_ATTEMPT }, AttemptDenied::MayHaveExecuted),
+        (AttemptFacts { repeat: keyed, ..FIRST_ATTEMPT }, AttemptDenied::DedupWindowOver),
     ] {
-        assert_eq!(may_attempt(&facts), Err(refusal));
+        assert_eq!(may_attempt(&facts), Err(denied));
     }
 }
 
 #[test]
-fn nothing_is_sent_for_a_client_that_has_gone_or_to_a_server_that_has() {
+fn nothing_is_sent_for_a_disconnected_client_or_to_a_draining_server() {
     let facts =
         SendFacts { is_client_waiting: true, is_serving: true, begin_within_ms: 0.0, deadline_in_ms: 1.0 };
     assert_eq!(may_send(&facts), Ok(()));
@@ -75,13 +87,13 @@
 }
 
 #[test]
-fn a_process_ends_once_all_is_answered_or_after_far_too_long() {
-    let ending =
+fn a_process_exits_once_all_requests_are_answered_or_after_20_s() {
+    let finished =
         ShutdownFacts { signalled_for_ms: 900.0, closed_for_ms: Some(60.0), has_blocking_connection: false };
-    assert!(may_exit(&ending));
-    assert!(!may_exit(&ShutdownFacts { has_blocking_connection: true, ..ending }));
-    assert!(!may_exit(&ShutdownFacts { closed_for_ms: None, ..ending }));
-    assert!(!may_exit(&ShutdownFacts { closed_for_ms: Some(10.0), ..ending }));
-    let stuck = ShutdownFacts { signalled_for_ms: 21_000.0, has_blocking_connection: true, ..ending };
+    assert!(may_exit(&finished));
+    assert!(!may_exit(&ShutdownFacts { has_blocking_connection: true, ..finished }));
+    assert!(!may_exit(&ShutdownFacts { closed_for_ms: None, ..finished }));
+    assert!(!may_exit(&ShutdownFacts { closed_for_ms: Some(10.0), ..finished }));
+    let stuck = ShutdownFacts { signalled_for_ms: 21_000.0, has_blocking_connection: true, ..finished };
     assert!(may_exit(&stuck));
 }
--- a/limiter-core/tests/settings.rs
+++ b/limiter-core/tests/settings.rs
@@ -1,9 +1,10 @@
-//! Settings that cannot be served.
+//! Settings that cannot be served are rejected.
 
 mod common;
 use common::*;
 use limiter_core::*;
 
+/// Asserts that altered settings are rejected with an error that names the value.
 fn assert_rejected(alter: fn(&mut Settings), named: &str) {
     let mut settings = settings(0);
     alter(&mut settings);
@@ -20,4 +21,7 @@
     assert_rejected(|settings| settings.classes[1].latency_objective_ms = 0.0, "class 1");
     assert_rejected(|settings| settings.plans[0].rate = f64::NAN, "plan 0");
     assert_rejected(|settings| settings.cold_capacity_fraction = 1.5, "cold_capacity_fraction");
+    assert_rejected(|settings| settings.plans = vec![settings.plans[0].clone(); 256], "plans");
+    assert_rejected(|settings| settings.event_interval_ms = f64::INFINITY, "event_interval_ms");
+    assert_rejected(|settings| settings.gossip_messages_per_s = -1.0, "gossip_messages_per_s");
 }
