--- a/limiter/src/frontend/request_body.rs
+++ b/limiter/src/frontend/request_body.rs
@@ -8,7 +8,7 @@
 use hyper::StatusCode;
 use tokio::time::timeout;
 
-use crate::body::{self, BodyError};
+use crate::messages::body::{self, BodyError};
 
 /// Of a body that is too large, at most this much more is read, so that its sender sees the response.
 const MAX_DISCARDED_BYTES: usize = 1 << 20;
@@ -52,7 +52,7 @@
     match body::read_body(&mut body).await {
         Ok(received) => Ok(received),
         Err(BodyError::TooLong) => Err(discard(body).await),
-        Err(BodyError::BrokenOff(_)) => Err(RequestBodyError::Incomplete),
+        Err(BodyError::Incomplete(_)) => Err(RequestBodyError::Incomplete),
     }
 }
 
