--- a/limiter-core/src/decay.rs
+++ b/limiter-core/src/decay.rs
@@ -1,19 +1,25 @@
-//! Sums and means in which older samples count less.
+//! Sums and means of samples whose weight decays exponentially with their age.
+//!
+//! A sample of age `t` counts `exp(-t / time_constant)` times. The sums are brought up to date when they are
+//! read or changed, so that no timer is needed and an idle sum costs nothing.
 
 use crate::event::Millis;
 
-/// A sum of amounts that decays exponentially with a time constant.
+/// A sum of amounts that decays exponentially.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct DecayingSum {
+    /// The sum as of `updated_at`.
     sum: f64,
+    /// Time of the last change.
     updated_at: Millis,
-    span_ms: Millis,
+    /// Time in milliseconds in which an amount decays to 1/e.
+    time_constant_ms: Millis,
 }
 
 impl DecayingSum {
-    /// A sum of nothing with the time constant `span_ms`.
-    pub fn new(now: Millis, span_ms: Millis) -> Self {
-        DecayingSum { sum: 0.0, updated_at: now, span_ms }
+    /// Returns an empty sum with a time constant in milliseconds.
+    pub fn new(now: Millis, time_constant_ms: Millis) -> Self {
+        DecayingSum { sum: 0.0, updated_at: now, time_constant_ms }
     }
 
     /// Adds an amount.
@@ -22,54 +28,63 @@
         self.updated_at = now;
     }
 
-    /// What is left of the amounts.
+    /// Returns the sum of all amounts, each decayed by its age.
     pub fn value(&self, now: Millis) -> f64 {
-        self.sum * (-(now - self.updated_at) / self.span_ms).exp()
+        self.sum * (-(now - self.updated_at) / self.time_constant_ms).exp()
     }
 
-    /// Amount a second.
+    /// Returns the estimated amount per second: a steady rate gives a sum of the rate times the time
+    /// constant.
     pub fn rate(&self, now: Millis) -> f64 {
-        self.value(now) * 1000.0 / self.span_ms
+        self.value(now) * 1000.0 / self.time_constant_ms
     }
 
-    /// Changes the time constant at an unchanged rate.
-    pub fn set_span(&mut self, now: Millis, span_ms: Millis) {
-        *self = DecayingSum { sum: self.value(now) * span_ms / self.span_ms, updated_at: now, span_ms };
+    /// Changes the time constant and scales the sum so that the rate stays the same.
+    pub fn set_span(&mut self, now: Millis, time_constant_ms: Millis) {
+        let sum = self.value(now) * time_constant_ms / self.time_constant_ms;
+        *self = DecayingSum { sum, updated_at: now, time_constant_ms };
     }
 }
 
-/// The mean of samples whose weight decays.
+/// Total weight of the samples below which [`DecayingMean`] has no value: half of a new sample. A single
+/// sample therefore has a mean until 0.69 time constants after it was added.
+const MIN_SAMPLE_WEIGHT: f64 = 0.5;
+
+/// The mean of samples whose weight decays exponentially.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct DecayingMean {
+    /// Sum of the samples.
     sum: DecayingSum,
-    count: DecayingSum,
+    /// Sum of the weights of the samples: 1 for a new one.
+    weight: DecayingSum,
 }
 
-/// Weight of the samples below which there is no mean.
-const MIN_SAMPLES: f64 = 0.5;
-
 impl DecayingMean {
-    /// A mean of nothing with the time constant `span_ms`.
-    pub fn new(now: Millis, span_ms: Millis) -> Self {
-        let empty = DecayingSum::new(now, span_ms);
-        DecayingMean { sum: empty, count: empty }
+    /// Returns a mean without samples, with a time constant in milliseconds.
+    pub fn new(now: Millis, time_constant_ms: Millis) -> Self {
+        let empty = DecayingSum::new(now, time_constant_ms);
+        DecayingMean { sum: empty, weight: empty }
     }
 
     /// Adds a sample.
     pub fn add(&mut self, now: Millis, sample: f64) {
         self.sum.add(now, sample);
-        self.count.add(now, 1.0);
+        self.weight.add(now, 1.0);
     }
 
-    /// The mean, if enough is left of the samples.
+    /// Returns the mean, or `None` if the samples have decayed too far to tell.
     pub fn value(&self, now: Millis) -> Option<f64> {
-        let count = self.count.value(now);
-        (count > MIN_SAMPLES).then(|| self.sum.value(now) / count)
+        let weight = self.weight.value(now);
+        if weight > MIN_SAMPLE_WEIGHT {
+            Some(self.sum.value(now) / weight)
+        } else {
+            None
+        }
     }
 
-    /// Changes the time constant.
-    pub fn set_span(&mut self, now: Millis, span_ms: Millis) {
-        self.sum.set_span(now, span_ms);
-        self.count.set_span(now, span_ms);
+    /// Changes the time constant. The mean stays the same, and the weight of the samples is scaled with it.
+    pub fn set_span(&mut self, now: Millis, time_constant_ms: Millis) {
+        self.sum.set_span(now, time_constant_ms);
+        self.weight.set_span(now, time_constant_ms);
     }
 }
--- a/limiter-core/src/endpoints/announcements.rs
+++ b/limiter-core/src/endpoints/announcements.rs
@@ -1,18 +1,11 @@
-//! What discovery announces of servers, and what peers report of departed ones while it does not answer.
+//! Announcements of discovery, the configured endpoint list, and the failure of the watch.
 
-use super::registry::fingerprint;
-use super::tombstones::TOMBSTONES_PER_MESSAGE;
-use crate::event::{Action, Endpoint, EndpointState, Millis};
-use crate::gossip::GossipLine;
+use super::record::Fingerprint;
+use crate::event::{Action, Endpoint, EndpointState};
 use crate::limiter::Limiter;
 
-/// Milliseconds between two polls, each of another peer: some ten before a change counts as notified.
-const POLL_INTERVAL_MS: Millis = 500.0;
-/// Polls of a process that takes its configured list: one may be lost, and a peer may have started just now
-/// as well.
-const STARTUP_POLLS: u32 = 4;
-
 impl Limiter {
+    /// Handles an announcement, which lists either all servers (`complete`) or those that changed.
     pub(crate) fn on_endpoints_changed(
         &mut self,
         complete: bool,
@@ -21,72 +14,44 @@
     ) {
         self.tombstones.discovery_lost = false;
         self.apply_endpoints(complete, endpoints, out);
-        self.endpoints.start_times.contact_made();
+        // The servers of a first announcement may have started long ago: they are dated before this is
+        // recorded.
+        self.endpoints.start_times.connected();
     }
 
-    /// Takes the list in that this limiter was configured with. It is old, and discovery has yet to answer:
-    /// several peers are asked at once which of its servers have departed since.
+    /// Installs the endpoint list from the configuration file. The list may be stale and discovery has not
+    /// responded yet, so several peers are polled immediately for servers that have departed since it was
+    /// written.
     pub(crate) fn on_endpoints_configured(&mut self, endpoints: &[Endpoint], out: &mut Vec<Action>) {
         self.apply_endpoints(true, endpoints, out);
         self.on_watch_failed(out);
-        for _ in 0..STARTUP_POLLS {
-            self.poll_random_peer(out);
-        }
+        self.poll_peers_at_startup(out);
     }
 
-    fn apply_endpoints(&mut self, complete: bool, endpoints: &[Endpoint], out: &mut Vec<Action>) {
-        let departed = self.endpoints.update(&mut self.context, complete, endpoints);
-        for fingerprint in departed {
-            self.tombstones.record(self.context.now, fingerprint);
-        }
-        for endpoint in endpoints.iter().filter(|endpoint| endpoint.state == EndpointState::Serving) {
-            self.tombstones.forget(fingerprint(endpoint));
-        }
-        self.drain_queue(out);
-    }
-
-    /// Peers are asked for departures until discovery answers again: where the list is subscribed to, and by
-    /// a process that has never been answered. Where lists are pushed, one that has been answered was told
-    /// all that its agent knows.
+    /// Handles the failure of the watch on the endpoint list: subscribes again.
+    ///
+    /// Peers are polled for tombstones until discovery answers again, in two cases: the limiter subscribes to
+    /// the list itself, or discovery has never answered this process. Where an agent on this host pushes the
+    /// lists, a process that has been answered was notified of everything that its agent knows.
     pub(crate) fn on_watch_failed(&mut self, out: &mut Vec<Action>) {
-        let was_answered = self.endpoints.start_times.witnesses_starts();
+        let was_answered = self.endpoints.start_times.observed_since_start();
         self.tombstones.discovery_lost = self.context.settings.must_subscribe || !was_answered;
-        self.endpoints.start_times.contact_lost(self.context.now);
+        self.endpoints.start_times.disconnected(self.context.now);
         out.push(Action::SubscribeToEndpoints);
     }
 
-    /// A change counts as notified some seconds after discovery had it, whoever that has answered: what it
-    /// has announced to others is asked of them, one after the other, until it answers here.
-    pub(crate) fn poll_peers_for_tombstones(&mut self, out: &mut Vec<Action>) {
-        let is_due = self.context.now - self.tombstones.last_poll_at >= POLL_INTERVAL_MS;
-        if self.tombstones.discovery_lost && is_due {
-            self.poll_random_peer(out);
-        }
-    }
-
-    fn poll_random_peer(&mut self, out: &mut Vec<Action>) {
-        let limiters = self.context.settings.limiters;
-        if self.context.settings.can_gossip && limiters > 1 {
-            self.tombstones.last_poll_at = self.context.now;
-            let peer = (self.context.settings.position + self.context.rng.u32(1..limiters)) % limiters;
-            self.send_gossip(peer, GossipLine::TombstonePoll, out);
-        }
-    }
-
-    pub(crate) fn send_tombstones(&mut self, peer: u32, out: &mut Vec<Action>) {
-        let now = self.context.now;
-        for departed in self.tombstones.recent(now).chunks(TOMBSTONES_PER_MESSAGE) {
-            let lines = departed.iter().copied().map(GossipLine::Tombstone).collect();
-            self.gossip.push_message(now, peer, lines);
-        }
-        self.flush_gossip(out);
-    }
-
-    /// Nothing new is sent to a server that has departed by a peer's report, until discovery announces it
-    /// again. That a server has come is not taken from a peer.
-    pub(crate) fn on_tombstone(&mut self, fingerprint: u32) {
-        if self.endpoints.drain_by_fingerprint(fingerprint) {
+    /// Updates the registry and the tombstones, and forwards queued requests, which may have waited for a
+    /// server.
+    fn apply_endpoints(&mut self, complete: bool, endpoints: &[Endpoint], out: &mut Vec<Action>) {
+        let departed = self.endpoints.update(&mut self.context, complete, endpoints);
+        for fingerprint in departed {
             self.tombstones.record(self.context.now, fingerprint);
         }
+        for endpoint in endpoints {
+            if endpoint.state == EndpointState::Serving {
+                self.tombstones.remove(Fingerprint::of(endpoint));
+            }
+        }
+        self.drain_queue(out);
     }
 }
--- a/limiter-core/src/endpoints/mod.rs
+++ b/limiter-core/src/endpoints/mod.rs
@@ -1,13 +1,55 @@
-//! The announced servers: which one gets a request, which are ejected, and which warm up.
+//! The announced servers: which one gets an attempt, which are ejected, and which are in slow start.
+//!
+//! **What happens to an announcement.** Discovery announces either all servers or those that changed.
+//! `announcements` passes the list to the registry ([`Endpoints`]), which first records the start times, then
+//! removes servers that a complete list does not name or that are announced as removed, and then installs the
+//! others. A server whose start is announced for the first time begins a slow start, unless it is known to
+//! have started long ago. Draining and removed servers leave a tombstone, which peers may poll while
+//! discovery does not answer them. At last, queued requests are forwarded if a server may have them now.
+//!
+//! **What happens to an attempt whose server is removed.** The attempt stays in flight, and its response
+//! counts. Its end frees its slots and counts in the baseline latency of all servers, but changes no record:
+//! the record was removed, and if the server has been announced again, it has a new record with another id.
+//! The silence check does not cancel such an attempt, because there is no latency to compare with. An attempt
+//! whose server is draining is treated like any other; only new attempts are sent elsewhere.
+//!
+//! **Which file holds what:**
+//!
+//! | file | contents |
+//! | --- | --- |
+//! | `announcements` | events of discovery: announcements, the configured list, the failure of the watch |
+//! | `registry` | [`Endpoints`]: the records of the servers, and the indexes over them |
+//! | `record` | the record of one server; fingerprints |
+//! | `ring` | the order in which a limiter visits the servers |
+//! | `routing` | the choice of a server: subset, predicted latency, zone, deduplication scope |
+//! | `attempts` | what the start, the end and the timeout of an attempt change |
+//! | `outlier` | the health of a server; when a server is ejected, or passed over as full or unresponsive |
+//! | `latency` | smoothed latency, of one server and of all |
+//! | `ejection_log` | ejections that the operators have not been notified of |
+//! | `start_times` | how long ago a server started, in spite of wall clocks that are stepped |
+//! | `slow_start` | the budget of one server in slow start; the warming set |
+//! | `slow_start_index`, `slow_start_upkeep` | which servers are in slow start; their periodic refills |
+//! | `throughput` | the measured throughput of a warm server, which guides the budgets |
+//! | `tombstones`, `tombstone_gossip` | servers that departed recently, and their exchange with peers |
 
 mod announcements;
+mod attempts;
+mod ejection_log;
+mod latency;
 mod outlier;
+mod record;
 mod registry;
+mod ring;
 mod routing;
 mod slow_start;
+mod slow_start_index;
+mod slow_start_upkeep;
 mod start_times;
 mod throughput;
+mod tombstone_gossip;
 mod tombstones;
 
-pub(crate) use registry::{AttemptTarget, Endpoints};
+pub(crate) use attempts::AttemptTarget;
+pub(crate) use record::Fingerprint;
+pub(crate) use registry::Endpoints;
 pub(crate) use tombstones::Tombstones;
--- a/limiter-core/src/endpoints/routing.rs
+++ b/limiter-core/src/endpoints/routing.rs
@@ -1,79 +1,104 @@
-//! The choice of a server for a request: subsets, predicted latency, zones, deduplication scopes.
+//! Routing: which server gets an attempt.
+//!
+//! Each limiter uses a subset of the servers: it walks the ring of ids from its own starting point until it
+//! has found enough servers that may have the request. Among these the one with the least predicted latency
+//! is picked. Servers in slow start whose warming set the limiter belongs to are candidates wherever they
+//! stand in the ring.
 
-use super::registry::{EndpointRecord, Endpoints};
+use super::record::EndpointRecord;
+use super::registry::Endpoints;
 use crate::context::Context;
-use crate::event::{EndpointState, Millis, ServerId};
+use crate::event::{Millis, ServerId};
 use crate::request::PendingRequest;
 use crate::settings::{DedupScope, Idempotency, Settings};
 
-/// Limiters that use one warm server: few, so that each soon learns which are slow.
+/// Number of limiters that use one warm server. Few limiters get enough responses of the server each to learn
+/// soon whether it is slow.
 const LIMITERS_PER_SERVER: f64 = 8.0;
-/// Smallest number of servers that a limiter uses.
+/// Smallest number of servers that a limiter uses, so that there is an alternative to one that fails.
 const MIN_SUBSET_SIZE: f64 = 2.0;
-/// Golden ratio: neighbouring limiters, which share customers, start far apart in the list, and all evenly.
-const SUBSET_STEP: f64 = 0.618_034;
-/// Least weight of a server that counts.
+/// Least weight that a server counts with. Guards the division by an announced weight of 0.
 const MIN_WEIGHT: f64 = 0.1;
-/// Factor on the predicted latency in another zone, a mild preference.
+/// Factor on the predicted latency of a server in another zone: a mild preference for the local zone.
 const CROSS_ZONE_FACTOR: f64 = 1.05;
-/// Factor on the predicted latency of an ejected or just tried server, the last choice.
+/// Factor on the predicted latency of a last choice (see [`Candidate::is_last_choice`]). Far larger than the
+/// ratio between the latencies of two servers, so that every other server is preferred.
 const LAST_CHOICE_FACTOR: f64 = 1e6;
-/// Largest random addition to a predicted latency, as a fraction: equal servers share the requests.
+/// Largest random increase of a predicted latency, as a fraction of it, so that equal servers share the
+/// requests.
 const JITTER_FRACTION: f64 = 0.1;
-/// Weight of the error rate in the predicted latency.
+/// Factor on the error rate in the predicted latency: errors make a server as unattractive as a latency of
+/// `1 + ERROR_RATE_FACTOR * error_rate` times its own.
 const ERROR_RATE_FACTOR: f64 = 4.0;
 
-/// The search for the best of the servers that are considered one after the other.
+/// A server that may get the attempt.
+#[derive(Debug)]
+struct Candidate {
+    /// Predicted latency with all factors and the random increase.
+    latency_ms: Millis,
+    /// The server is ejected, or the previous attempt of the request was sent to it.
+    is_last_choice: bool,
+    /// The server is in slow start.
+    is_warming: bool,
+}
+
+/// The state of the search for a server.
 #[derive(Debug, Default)]
 struct Search {
-    /// Warm servers that were considered and are not a last choice.
+    /// Number of candidates so far that are warm and not a last choice.
     num_warm: usize,
-    /// The least latency so far, and whose it is.
-    best: Option<(Millis, ServerId)>,
+    /// Least predicted latency so far.
+    best_latency_ms: Millis,
+    /// The server with that latency.
+    best: Option<ServerId>,
 }
 
-impl Endpoints {
-    /// The server with the least predicted latency among this limiter's subset of those that may have the
-    /// request. A server that warms up is considered wherever it stands: its budget would go unused.
-    pub(crate) fn pick(&mut self, context: &mut Context, request: &PendingRequest) -> Option<ServerId> {
-        let (now, limiters) = (context.now, f64::from(context.settings.limiters));
-        let count = self.ids_in_order.len();
-        let first = self.first_of_subset(context.settings.position);
-        let subset_size = (LIMITERS_PER_SERVER * count as f64 / limiters).max(MIN_SUBSET_SIZE) as usize;
-        let (mut search, mut num_visited) = (Search::default(), 0);
-        while num_visited < count && search.num_warm < subset_size {
-            let server = self.ids_in_order[(first + num_visited) % count].clone();
-            self.consider(context, request, &server, &mut search);
-            num_visited += 1;
+impl Search {
+    /// Adds a candidate. The earlier one of two with the same latency stays the best.
+    fn add(&mut self, server: &ServerId, candidate: &Candidate) {
+        if self.best.is_none() || candidate.latency_ms < self.best_latency_ms {
+            self.best_latency_ms = candidate.latency_ms;
+            self.best = Some(server.clone());
         }
-        for server in self.warming_behind(now, first, num_visited) {
-            self.consider(context, request, &server, &mut search);
+        if !candidate.is_last_choice && !candidate.is_warming {
+            self.num_warm += 1;
         }
-        self.slow_starts_refilled(now, &context.settings);
-        search.best.map(|(_, server)| server)
     }
+}
 
-    /// Where the subset of the limiter at a position begins in the order of ids.
-    fn first_of_subset(&self, position: u32) -> usize {
-        ((f64::from(position) * SUBSET_STEP).fract() * self.ids_in_order.len() as f64) as usize
-    }
+/// Returns the number of warm servers that each limiter uses.
+fn subset_size(num_servers: usize, limiters: u32) -> usize {
+    (LIMITERS_PER_SERVER * num_servers as f64 / f64::from(limiters)).max(MIN_SUBSET_SIZE) as usize
+}
 
-    /// The servers that warm up and stand behind the visited ones in the ring of ids from `first` on, in its
-    /// order.
-    fn warming_behind(&self, now: Millis, first: usize, num_visited: usize) -> Vec<ServerId> {
-        let (ids, warming) = (&self.ids_in_order, self.warming_to_consider(now));
-        if num_visited >= ids.len() || warming.is_empty() {
-            return Vec::new();
+impl Endpoints {
+    /// Returns the server for the next attempt of a request: the one with the least predicted latency in the
+    /// subset of this limiter. Returns `None` if no server may have the request now.
+    ///
+    /// Servers in slow start that stand outside of the subset are considered as well: this limiter belongs to
+    /// their warming set, and its part of their budget would not be used otherwise.
+    pub(crate) fn pick(&mut self, context: &mut Context, request: &PendingRequest) -> Option<ServerId> {
+        let now = context.now;
+        let num_servers = self.ring.len();
+        let subset_size = subset_size(num_servers, context.settings.limiters);
+        let first = self.ring.first_for(context.settings.position);
+        let mut search = Search::default();
+        let mut num_visited = 0;
+        while num_visited < num_servers && search.num_warm < subset_size {
+            let server = self.ring.server_at(first, num_visited).clone();
+            self.consider(context, request, &server, &mut search);
+            num_visited += 1;
         }
-        let (next, end) = (first + num_visited, &ids[first]);
-        if next < ids.len() {
-            warming.range(ids[next].clone()..).chain(warming.range(..end.clone())).cloned().collect()
-        } else {
-            warming.range(ids[next - ids.len()].clone()..end.clone()).cloned().collect()
+        let warming_elsewhere =
+            self.ring.not_visited(first, num_visited, self.slow_starts.due_for_refill(now));
+        for server in warming_elsewhere {
+            self.consider(context, request, &server, &mut search);
         }
+        self.find_next_slow_start_end(now, &context.settings);
+        search.best
     }
 
-    /// Keeps a server as the best one if it may have the request and none before is better.
+    /// Adds a server to the candidates if the server may have the request.
     fn consider(
         &mut self,
         context: &mut Context,
@@ -81,22 +106,14 @@
         server: &ServerId,
         search: &mut Search,
     ) {
-        let Context { settings, rng, now, .. } = context;
         let Some(record) = self.by_id.get_mut(server) else { return };
         self.num_examined += 1;
         let was_warming = record.slow_start.is_warming();
-        let may_have_more = record.may_have_more(*now, self.warm_throughput, settings);
+        let may_send = record.may_send_new_attempt(context.now, self.warm_throughput, &context.settings);
         let is_warming = record.slow_start.is_warming();
-        if may_have_more && drops_duplicates_of(request, record, settings) {
-            let is_last_choice =
-                record.health.is_ejected(*now) || request.last_server.as_ref() == Some(server);
-            let factor = if is_last_choice { LAST_CHOICE_FACTOR } else { 1.0 + JITTER_FRACTION * rng.f64() };
-            let baseline_ms = self.baseline_latency_ms;
-            let latency_ms = record.predicted_latency_ms(*now, baseline_ms, settings.zone) * factor;
-            if search.best.as_ref().is_none_or(|(least_ms, _)| latency_ms < *least_ms) {
-                search.best = Some((latency_ms, server.clone()));
-            }
-            search.num_warm += usize::from(!is_last_choice && !is_warming);
+        if may_send && drops_duplicates_of(request, record, &context.settings) {
+            let candidate = record.rate(context, request, self.baseline_latency.value_ms());
+            search.add(server, &candidate);
         }
         if was_warming && !is_warming {
             self.slow_start_ended(server);
@@ -105,17 +122,33 @@
 }
 
 impl EndpointRecord {
-    /// Whether anything new may be sent there now: serving, not full or hanging, and with budget.
-    fn may_have_more(&mut self, now: Millis, warm_throughput: f64, settings: &Settings) -> bool {
-        if self.endpoint.state != EndpointState::Serving || self.health.is_unavailable(now, self.in_flight) {
+    /// Returns whether a new attempt may be sent to this server: it is serving, has capacity, is responsive
+    /// and, during slow start, has budget left. Refills the budget.
+    fn may_send_new_attempt(&mut self, now: Millis, warm_throughput: f64, settings: &Settings) -> bool {
+        if !self.is_serving() || self.health.is_unavailable(now, self.in_flight) {
             return false;
         }
         self.slow_start.refill(now, warm_throughput, settings);
         self.slow_start.has_budget()
     }
 
-    /// Time that one more request is expected to take there.
-    fn predicted_latency_ms(&self, now: Millis, baseline_ms: Millis, zone: u32) -> f64 {
+    /// Returns this server as a candidate for a request. Draws a random number unless the server is a last
+    /// choice.
+    fn rate(&self, context: &mut Context, request: &PendingRequest, baseline_ms: Millis) -> Candidate {
+        let was_tried_last = request.last_server.as_ref() == Some(&self.endpoint.server);
+        let is_last_choice = self.health.is_ejected(context.now) || was_tried_last;
+        let factor =
+            if is_last_choice { LAST_CHOICE_FACTOR } else { 1.0 + JITTER_FRACTION * context.rng.f64() };
+        let predicted_ms = self.predicted_latency_ms(context.now, baseline_ms, context.settings.zone);
+        Candidate {
+            latency_ms: predicted_ms * factor,
+            is_last_choice,
+            is_warming: self.slow_start.is_warming(),
+        }
+    }
+
+    /// Returns the time that one more request is expected to take at this server, for a limiter in `zone`.
+    fn predicted_latency_ms(&self, now: Millis, baseline_ms: Millis, zone: u32) -> Millis {
         let latency_ms = self.health.usual_latency_ms(now, baseline_ms).max(1.0);
         let zone_factor = if self.endpoint.zone == zone { 1.0 } else { CROSS_ZONE_FACTOR };
         let load = f64::from(self.in_flight + 1) / self.endpoint.weight.max(MIN_WEIGHT);
@@ -123,12 +156,15 @@
     }
 }
 
-/// A request with a key that may have been executed stays among the servers that drop its duplicates.
+/// Returns whether a server drops the duplicates of a request, should an earlier attempt have been executed.
+/// True for requests without an idempotency key, of which it is not asked.
 fn drops_duplicates_of(request: &PendingRequest, record: &EndpointRecord, settings: &Settings) -> bool {
     let class = &settings.classes[request.request.class];
     let Some(execution) = request.possible_execution else { return true };
+    if class.idempotency != Idempotency::WithKey {
+        return true;
+    }
     match class.dedup_scope {
-        _ if class.idempotency != Idempotency::WithKey => true,
         DedupScope::All => true,
         DedupScope::Zone => record.endpoint.zone == execution.location.zone,
         DedupScope::Cell => record.endpoint.cell == execution.location.cell,
--- a/limiter-core/src/endpoints/slow_start.rs
+++ b/limiter-core/src/endpoints/slow_start.rs
@@ -1,4 +1,10 @@
-//! Slow start: what a server that has just started is sent while it warms up, by all limiters together.
+//! Slow start: how many requests this limiter may send to one server that has just started.
+//!
+//! A cold server has a fraction of its capacity, which grows linearly until `slow_start_ms` after its start,
+//! and it fails under `overload_factor` times its present capacity. All limiters together must stay below
+//! that without an exchange of messages. Rendezvous hashing therefore selects a few limiters for each start,
+//! the warming set. Each member spends requests from a token bucket; every other limiter sends nothing until
+//! the slow start ends.
 
 use super::start_times::StartTimes;
 use crate::context::Context;
@@ -7,113 +13,157 @@
 use crate::settings::Settings;
 use crate::token_bucket::TokenBucket;
 
-/// Shortest slow start in milliseconds: a setting of 0 means none.
+/// Shortest slow start in milliseconds. Guards the division by the setting, of which 0 means no slow start.
 const MIN_SLOW_START_MS: Millis = 1.0;
-/// Limiters that warm one server up, its warming set, the first by rendezvous hashing: each may have saved up
-/// one request, so that hundreds could overload it in one moment, and each would pay for a connection.
+/// Number of limiters that send to a server in slow start. Each may have saved up one request, so that
+/// hundreds of limiters could overload the server at one moment, and each would have to open a connection.
 const WARMING_SET_SIZE: u32 = 12;
-/// Fraction of what a server can stand, by the least capacity that the settings promise and what warm ones
-/// are seen to do, that all limiters together send it. The rest is for requests that come at once.
+/// Fraction of the load that a cold server can sustain, by the guaranteed capacity and the throughput of warm
+/// servers, that all limiters together send to it. The rest allows for requests that arrive at the same time.
 const BUDGET_FRACTION: f64 = 0.75;
-/// Requests that all limiters together may send a cold server in the time in which an overload has it fail,
-/// whatever is measured of warm ones: it bears 3 more than its capacity lets expect. Else no server of a
-/// fleet would get a request that has started all at once, or after a quiet time, until its slow start is
-/// over.
+/// Requests that all limiters together may send to a cold server within the time in which an overload makes
+/// it fail, whatever throughput of warm servers was measured: the server tolerates 3 requests more than its
+/// capacity suggests. Without this minimum, no server of a fleet that started all at once, or after a quiet
+/// time, would get a request before the end of its slow start.
 const MIN_REQUESTS_PER_WINDOW: f64 = 1.0;
-/// Shortest time of an overload in milliseconds, for settings that name none.
+/// Shortest overload in milliseconds that makes a cold server fail. Applies where the setting is lower or 0.
 const MIN_OVERLOAD_MS: Millis = 1000.0;
 /// Requests that a limiter may save up for one server.
 const BUDGET_CAPACITY: f64 = 1.0;
 
 /// The slow start of a server.
 #[derive(Debug)]
-pub(crate) struct SlowStart {
-    /// Since when it warms up, by this limiter's clock; never earlier than it started.
-    pub(super) warming_since: Option<Millis>,
-    /// Requests that this limiter may send it while it does.
-    pub(super) budget: TokenBucket,
+pub(super) struct SlowStart {
+    /// Set while the server warms up.
+    warming: Option<Warming>,
 }
 
-/// Fraction of its capacity that a server has at least, as far as its slow start has gone.
-fn capacity_fraction(progress: f64, settings: &Settings) -> f64 {
+/// The state of a slow start that has not ended.
+#[derive(Debug)]
+struct Warming {
+    /// Start of the server on this limiter's clock. Never earlier than the true start.
+    since: Millis,
+    /// Whether this limiter belongs to the warming set.
+    is_member: bool,
+    /// Requests that this limiter may send to the server. Spent by members of the warming set only.
+    budget: TokenBucket,
+}
+
+/// Returns the guaranteed fraction of a server's capacity at a point of its slow start, which runs from 0 to
+/// 1.
+fn guaranteed_capacity_fraction(progress: f64, settings: &Settings) -> f64 {
     let cold = settings.cold_capacity_fraction;
     cold + (1.0 - cold) * progress.max(0.0)
 }
 
-/// Limiters for which each of a warming set stands.
+/// Returns the number of limiters whose part of a server's budget one member of the warming set sends: at
+/// least its own.
 pub(super) fn limiters_per_member(settings: &Settings) -> f64 {
     (f64::from(settings.limiters) / f64::from(WARMING_SET_SIZE)).max(1.0)
 }
 
-/// Requests a second that a limiter's part of a cold server's budget is at least.
+/// Returns the least rate of one limiter's part of a cold server's budget, in requests per second.
 fn min_rate(settings: &Settings) -> f64 {
     let window_s = settings.overload_ms.max(MIN_OVERLOAD_MS) / 1000.0;
     MIN_REQUESTS_PER_WINDOW / window_s / f64::from(settings.limiters)
 }
 
+/// Returns how long slow starts last, in milliseconds.
+fn duration_ms(settings: &Settings) -> Millis {
+    settings.slow_start_ms.max(MIN_SLOW_START_MS)
+}
+
+impl Warming {
+    /// Returns the elapsed fraction of the slow start: 1 or more once its time is over.
+    fn progress(&self, now: Millis, settings: &Settings) -> f64 {
+        (now - self.since) / duration_ms(settings)
+    }
+}
+
 impl SlowStart {
-    /// A server that is not known to have started lately.
-    pub(super) fn none(now: Millis) -> Self {
-        SlowStart { warming_since: None, budget: TokenBucket::new(1.0, now) }
+    /// Returns the slow start of a server that is not known to have started recently.
+    pub(super) fn completed() -> Self {
+        SlowStart { warming: None }
     }
 
-    /// Whether it warms up.
+    /// Returns whether the slow start has not ended.
     pub(super) fn is_warming(&self) -> bool {
-        self.warming_since.is_some()
+        self.warming.is_some()
     }
 
-    /// Whether this limiter belongs to the warming set. Another one sends nothing while the server warms up.
-    pub(super) fn is_member(&self) -> bool {
-        self.budget.level > f64::NEG_INFINITY
+    /// Returns whether the server warms up and this limiter belongs to its warming set.
+    pub(super) fn is_in_warming_set(&self) -> bool {
+        self.warming.as_ref().is_some_and(|warming| warming.is_member)
     }
 
-    /// Fraction of its capacity that it has at least, while it warms up.
+    /// Returns the guaranteed fraction of the server's capacity, or `None` if the slow start has ended.
     pub(super) fn capacity_fraction(&self, now: Millis, settings: &Settings) -> Option<f64> {
-        let since = self.warming_since?;
-        let progress = (now - since) / settings.slow_start_ms.max(MIN_SLOW_START_MS);
-        Some(capacity_fraction(progress, settings))
+        let progress = self.warming.as_ref()?.progress(now, settings);
+        Some(guaranteed_capacity_fraction(progress, settings))
     }
 
-    /// Whether a request may be sent to it.
+    /// Returns whether this limiter may send a request to the server as far as the slow start is concerned.
     pub(super) fn has_budget(&self) -> bool {
-        !self.is_warming() || self.budget.level >= 1.0
+        match &self.warming {
+            Some(warming) => warming.is_member && warming.budget.level >= 1.0,
+            None => true,
+        }
+    }
+
+    /// Deducts a request that is sent to the server.
+    pub(super) fn spend(&mut self) {
+        if let Some(warming) = &mut self.warming {
+            warming.budget.level -= 1.0;
+        }
     }
 
-    /// When it ends, while it lasts.
+    /// Returns the time at which the slow start ends, or `None` if it has ended.
     pub(super) fn ends_at(&self, settings: &Settings) -> Option<Millis> {
-        self.warming_since.map(|since| since + settings.slow_start_ms.max(MIN_SLOW_START_MS))
+        let warming = self.warming.as_ref()?;
+        Some(warming.since + duration_ms(settings))
     }
 
-    /// Begins anew for a server whose start is announced for the first time, if it may be cold still. All
-    /// limiters are notified at once: those of the warming set start somewhere between none and one request,
-    /// so that they come one after the other, and the others never get to one. A limiter that has started
-    /// since begins with none.
-    pub(super) fn begin_if_cold(&mut self, context: &mut Context, starts: &StartTimes, endpoint: &Endpoint) {
-        let Context { settings, now, rng, .. } = context;
-        let min_age_ms = starts.min_age_ms(*now, endpoint.started_at);
+    /// Begins a slow start for a server whose start is announced for the first time, unless the server
+    /// started so long ago that it is warm.
+    ///
+    /// All limiters are notified at about the same time. Members of the warming set therefore begin with a
+    /// random part of a request, so that their first requests do not arrive together. A limiter that may have
+    /// been started after the server begins with none: with each restart it would get another part.
+    pub(super) fn begin_if_cold(
+        &mut self,
+        context: &mut Context,
+        start_times: &StartTimes,
+        endpoint: &Endpoint,
+    ) {
+        let settings = &context.settings;
+        let min_age_ms = start_times.min_age_ms(context.now, endpoint.started_at);
         if endpoint.started_at <= 0.0 || min_age_ms >= settings.slow_start_ms {
             return;
         }
-        self.warming_since = Some(*now - min_age_ms);
-        let saved = if starts.witnesses_starts() { rng.f64() } else { 0.0 };
+        let saved_up = if start_times.observed_since_start() { context.rng.f64() } else { 0.0 };
         let rank = rendezvous_rank(endpoint_hash(endpoint), settings.position, settings.limiters);
-        let is_member = rank < WARMING_SET_SIZE as usize;
-        self.budget = TokenBucket::new(if is_member { saved } else { f64::NEG_INFINITY }, *now);
+        self.warming = Some(Warming {
+            since: context.now - min_age_ms,
+            is_member: rank < WARMING_SET_SIZE as usize,
+            budget: TokenBucket::new(saved_up, context.now),
+        });
     }
 
-    /// Adds what the server may be sent meanwhile, and ends the slow start in time. Called often: a limiter
-    /// of hundreds sends so seldom that its measured throughput has decayed by its next request.
+    /// Ends the slow start if its time is over; otherwise adds to the budget what the server may be sent for
+    /// the time since the last refill.
+    ///
+    /// Refills must be frequent. A limiter among hundreds sends so rarely that its measured throughput would
+    /// have decayed by the next request.
     pub(super) fn refill(&mut self, now: Millis, warm_throughput: f64, settings: &Settings) {
-        let Some(since) = self.warming_since else { return };
-        let progress = (now - since) / settings.slow_start_ms.max(MIN_SLOW_START_MS);
+        let Some(warming) = &mut self.warming else { return };
+        let progress = warming.progress(now, settings);
         if progress >= 1.0 {
-            self.warming_since = None;
+            self.warming = None;
             return;
         }
-        let capacity_fraction = capacity_fraction(progress, settings);
-        let limiters_per_member = limiters_per_member(settings);
-        let by_throughput = warm_throughput * capacity_fraction * BUDGET_FRACTION * settings.overload_factor;
-        let rate = by_throughput.max(min_rate(settings));
-        self.budget.refill(now, rate * limiters_per_member, BUDGET_CAPACITY);
+        let capacity_fraction = guaranteed_capacity_fraction(progress, settings);
+        let measured_rate = warm_throughput * capacity_fraction * BUDGET_FRACTION * settings.overload_factor;
+        let rate = measured_rate.max(min_rate(settings));
+        warming.budget.refill(now, rate * limiters_per_member(settings), BUDGET_CAPACITY);
     }
 }
--- /dev/null
+++ b/limiter-core/src/endpoints/slow_start_upkeep.rs
@@ -0,0 +1,44 @@
+//! The periodic upkeep of all slow starts by the control step.
+
+use super::record::EndpointRecord;
+use super::registry::Endpoints;
+use crate::context::Context;
+use crate::event::{Millis, ServerId};
+use crate::settings::Settings;
+
+impl Endpoints {
+    /// Measures the throughput of warm servers and refills the budgets of the servers in slow start by it.
+    /// Ends the slow starts whose time is over.
+    pub(crate) fn update_slow_start(&mut self, context: &Context) {
+        self.measure_warm_throughput(context);
+        let due: Vec<ServerId> = self.slow_starts.due_for_refill(context.now).iter().cloned().collect();
+        for server in &due {
+            self.refill_slow_start(server, context.now, &context.settings);
+        }
+        self.find_next_slow_start_end(context.now, &context.settings);
+    }
+
+    /// Refills the budget of one server, or ends its slow start.
+    fn refill_slow_start(&mut self, server: &ServerId, now: Millis, settings: &Settings) {
+        let Some(record) = self.by_id.get_mut(server) else { return };
+        self.num_examined += 1;
+        record.slow_start.refill(now, self.warm_throughput, settings);
+        if !record.slow_start.is_warming() {
+            self.slow_start_ended(server);
+        }
+    }
+
+    /// Updates the indexes after the slow start of a server has ended.
+    pub(super) fn slow_start_ended(&mut self, server: &ServerId) {
+        let is_warm = self.by_id.get(server).is_some_and(EndpointRecord::is_warm_and_serving);
+        self.update_num_warm(false, is_warm);
+        self.slow_starts.remove(server);
+    }
+
+    /// Finds when the next slow start ends that this limiter takes no part in. Must be called after the
+    /// servers that are due for a refill have been refilled.
+    pub(super) fn find_next_slow_start_end(&mut self, now: Millis, settings: &Settings) {
+        let by_id = &self.by_id;
+        self.slow_starts.update_next_end(now, |server| by_id.get(server)?.slow_start.ends_at(settings));
+    }
+}
--- a/limiter-core/src/endpoints/start_times.rs
+++ b/limiter-core/src/endpoints/start_times.rs
@@ -1,90 +1,110 @@
-//! How long ago servers started, from the start times that discovery announces.
+//! Estimates how long ago servers started, from the start times that discovery announces.
 //!
-//! The clock of the announcements and that of this limiter may differ by hours: wall clocks are stepped. So
-//! they are compared for ages of hours alone. What else is known of an age comes from the limiter's own
-//! clock, which only goes forward, and from differences between announced start times. Every age found here
-//! is at most the true one: slow start is held to what a server of the least possible age can stand.
+//! The clock of the announced start times and the wall clock of this host may differ by hours, because wall
+//! clocks are stepped. Only ages of hours are therefore derived from a comparison of the two. Everything else
+//! is derived from the limiter's own clock, which only goes forward, and from differences between announced
+//! start times.
+//!
+//! Every estimate is at most the true age, so that slow start never assumes more capacity than a server has.
 
 use crate::event::{Endpoint, Millis};
 
-/// No two wall clocks are further apart than this, in milliseconds: each may be stepped by an hour.
+/// Largest difference between two wall clocks in milliseconds: each may have been stepped by an hour.
 const MAX_CLOCK_ERROR_MS: Millis = 2.0 * 3_600_000.0;
-/// The latest start time that is taken for one, in Unix milliseconds (the year 2100): a later one is a
-/// mistake, and would make every other server look old.
+/// Latest start time that is accepted, in Unix milliseconds (the year 2100). A later one is a mistake of the
+/// announcement and would make all other servers look old.
 const MAX_STARTED_AT: Millis = 4_102_444_800_000.0;
 
-/// Whether discovery announces to this limiter what changes.
+/// Whether discovery notifies this limiter of changes as they happen.
 #[derive(Debug, Clone, Copy, PartialEq)]
-enum Contact {
-    /// It has announced nothing to this process: how old what it announces is cannot be told.
-    Never,
-    /// What it announces has just happened.
-    InTouch,
-    /// It has failed since then: what it announces next may have happened at any moment after it.
-    LostSince(Millis),
+enum DiscoveryState {
+    /// Discovery has announced nothing to this process. An announced change may have happened at any time.
+    NeverConnected,
+    /// An announced change has just happened.
+    Connected,
+    /// Discovery failed at this time. The next announced change may have happened at any time since.
+    DisconnectedSince(Millis),
 }
 
-/// What is known of the present moment on the clock of the announced start times.
+/// What is known of the clock of the announced start times, and of the connection to discovery.
 #[derive(Debug)]
-pub(crate) struct StartTimes {
-    contact: Contact,
-    /// The announced clock less this limiter's, at least: by the latest start, which was not in the future.
-    min_offset_ms: Millis,
-    /// The wall clock at this limiter's start less the limiter's own, if that was told.
-    wall_offset_ms: Option<Millis>,
+pub(super) struct StartTimes {
+    discovery: DiscoveryState,
+    /// Lower bound of the announced clock minus this limiter's clock: no announced start was in the future.
+    min_clock_offset_ms: Millis,
+    /// Wall clock minus this limiter's clock at the start of this limiter, if the caller has passed the wall
+    /// clock.
+    wall_clock_offset_ms: Option<Millis>,
 }
 
 impl Default for StartTimes {
     fn default() -> Self {
-        StartTimes { contact: Contact::Never, min_offset_ms: f64::NEG_INFINITY, wall_offset_ms: None }
+        StartTimes {
+            discovery: DiscoveryState::NeverConnected,
+            min_clock_offset_ms: f64::NEG_INFINITY,
+            wall_clock_offset_ms: None,
+        }
     }
 }
 
 impl StartTimes {
-    /// What the wall clock reads now, in Unix milliseconds.
+    /// Records the reading of the wall clock at time `now`, in Unix milliseconds.
     pub(super) fn set_wall_clock(&mut self, now: Millis, unix_ms: Millis) {
-        self.wall_offset_ms = Some(unix_ms - now);
+        self.wall_clock_offset_ms = Some(unix_ms - now);
     }
 
-    /// Discovery has announced something, or that nothing has changed.
-    pub(super) fn contact_made(&mut self) {
-        self.contact = Contact::InTouch;
+    /// Records that discovery has announced changes, or that there are none.
+    pub(super) fn connected(&mut self) {
+        self.discovery = DiscoveryState::Connected;
     }
 
-    /// Discovery has failed.
-    pub(super) fn contact_lost(&mut self, now: Millis) {
-        if self.contact == Contact::InTouch {
-            self.contact = Contact::LostSince(now);
+    /// Records that discovery has failed.
+    pub(super) fn disconnected(&mut self, now: Millis) {
+        if self.discovery == DiscoveryState::Connected {
+            self.discovery = DiscoveryState::DisconnectedSince(now);
         }
     }
 
-    /// Whether this limiter has heard of the present endpoints while it ran, so that a start which is
-    /// announced now came after its own.
-    pub(super) fn witnesses_starts(&self) -> bool {
-        self.contact != Contact::Never
+    /// Returns whether discovery has announced the endpoint list to this process, so that a server whose
+    /// start is announced now was started after this limiter.
+    pub(super) fn observed_since_start(&self) -> bool {
+        self.discovery != DiscoveryState::NeverConnected
     }
 
-    /// Takes the start times of an announcement in. To be called before the ages of its servers are asked
-    /// for.
-    pub(super) fn observe(&mut self, now: Millis, endpoints: &[Endpoint]) {
-        let started_at = endpoints.iter().map(|endpoint| endpoint.started_at);
-        let latest =
-            started_at.filter(|started| (0.0..=MAX_STARTED_AT).contains(started)).fold(0.0, f64::max);
-        if latest > 0.0 {
-            self.min_offset_ms = self.min_offset_ms.max(latest - now);
+    /// Records the start times of an announcement. Must be called before [`StartTimes::min_age_ms`] is called
+    /// for its servers.
+    pub(super) fn record_announced(&mut self, now: Millis, endpoints: &[Endpoint]) {
+        let mut latest_start: Millis = 0.0;
+        for endpoint in endpoints {
+            if (0.0..=MAX_STARTED_AT).contains(&endpoint.started_at) {
+                latest_start = f64::max(latest_start, endpoint.started_at);
+            }
+        }
+        if latest_start > 0.0 {
+            self.min_clock_offset_ms = self.min_clock_offset_ms.max(latest_start - now);
         }
     }
 
-    /// The least age of a server whose start is announced now for the first time.
+    /// Returns the least possible age, in milliseconds, of a server whose start is announced now for the
+    /// first time.
     pub(super) fn min_age_ms(&self, now: Millis, started_at: Millis) -> Millis {
-        let by_latest_start = now + self.min_offset_ms - started_at;
-        let by_wall_clock = |offset_ms| now + offset_ms - MAX_CLOCK_ERROR_MS - started_at;
-        let by_clocks = by_latest_start.max(self.wall_offset_ms.map_or(0.0, by_wall_clock));
-        let age_ms = match self.contact {
-            Contact::Never => by_clocks,
-            Contact::InTouch => 0.0,
-            Contact::LostSince(lost_at) => by_clocks.min(now - lost_at),
+        let age_ms = match self.discovery {
+            DiscoveryState::NeverConnected => self.min_age_by_clocks_ms(now, started_at),
+            DiscoveryState::Connected => 0.0,
+            DiscoveryState::DisconnectedSince(disconnected_at) => {
+                self.min_age_by_clocks_ms(now, started_at).min(now - disconnected_at)
+            }
         };
         age_ms.max(0.0)
     }
+
+    /// Returns the least possible age by the latest announced start and by the wall clock.
+    fn min_age_by_clocks_ms(&self, now: Millis, started_at: Millis) -> Millis {
+        let by_latest_start = now + self.min_clock_offset_ms - started_at;
+        let by_wall_clock = match self.wall_clock_offset_ms {
+            Some(offset_ms) => now + offset_ms - MAX_CLOCK_ERROR_MS - started_at,
+            None => 0.0,
+        };
+        by_latest_start.max(by_wall_clock)
+    }
 }
--- a/limiter-core/src/endpoints/throughput.rs
+++ b/limiter-core/src/endpoints/throughput.rs
@@ -1,61 +1,68 @@
-//! What warm servers complete, the guide for those that warm up, and the upkeep of slow starts.
+//! The throughput of a warm server, which guides the budgets of slow start.
 
-use super::outlier::RESPONSE_SPAN_MS;
+use super::outlier::RESPONSE_TIME_CONSTANT_MS;
 use super::registry::Endpoints;
 use super::slow_start::limiters_per_member;
 use crate::context::Context;
 use crate::event::Millis;
 use crate::settings::Settings;
 
-/// Least age of a limiter, as a fraction of the time over which responses are counted, from which its
-/// measurement is extrapolated.
+/// Least age of this limiter that the measurement is extrapolated from, as a fraction of the time constant of
+/// the responses. Bounds the extrapolation of the first responses.
 const MIN_MEASURED_FRACTION: f64 = 0.1;
-
-/// Least fraction of its capacity that a cold server is taken to have: the settings may say 0.
+/// Least fraction of its capacity that a server in slow start is assumed to have. The setting may be 0, and
+/// the throughput is divided by the fraction.
 const MIN_CAPACITY_FRACTION: f64 = 0.05;
 
 impl Endpoints {
-    /// Measures the throughput that guides slow start, the good responses of a warm server that is in
-    /// service, and refills all budgets by it. What is sent to others, or rejected, says nothing of it: with
-    /// few warm ones left it came to many times what a server can do. With none left the last figure stands,
-    /// or what those that warm up show if that is more.
-    pub(crate) fn update_slow_start(&mut self, context: &Context) {
+    /// Measures the good responses per second that this limiter gets from one warm server.
+    ///
+    /// Only good responses of servers that are serving count. Requests that were rejected, or sent to other
+    /// servers, tell nothing of what a server can sustain: with few warm servers left, they amounted to many
+    /// times that. Without any warm server the last measurement remains, or what the servers in slow start
+    /// show, if that is more.
+    pub(super) fn measure_warm_throughput(&mut self, context: &Context) {
         let now = context.now;
-        if self.num_warm() > 0 {
-            // Over the time since the start: else servers wait for seconds at a new limiter.
-            let age_ms = (now - context.started_at).max(RESPONSE_SPAN_MS * MIN_MEASURED_FRACTION);
-            let measured = 1.0 - (-age_ms / RESPONSE_SPAN_MS).exp();
-            self.warm_throughput = self.warm_responses_per_s(now) / measured / self.num_warm() as f64;
-        } else {
-            let of_cold = self.throughput_of_cold(now, &context.settings);
-            self.warm_throughput = self.warm_throughput.max(of_cold);
+        if self.num_warm() == 0 {
+            let of_warming = self.warming_throughput(now, &context.settings);
+            self.warm_throughput = self.warm_throughput.max(of_warming);
+            return;
         }
-        self.refill_slow_starts(now, &context.settings);
+        // A limiter that has just started has counted responses for a short time only. Without the
+        // extrapolation, the servers would get too few requests for seconds.
+        let age_ms = (now - context.started_at).max(RESPONSE_TIME_CONSTANT_MS * MIN_MEASURED_FRACTION);
+        let measured_fraction = 1.0 - (-age_ms / RESPONSE_TIME_CONSTANT_MS).exp();
+        self.warm_throughput = self.warm_responses_per_s(now) / measured_fraction / self.num_warm() as f64;
     }
 
-    /// The throughput of a warm server by what those that warm up are seen to respond well to: that much they
-    /// can do by now. So what they are sent grows by a factor each time it is borne. Of the members of a
-    /// warming set, each stands for several limiters.
-    fn throughput_of_cold(&mut self, now: Millis, settings: &Settings) -> f64 {
-        let Endpoints { by_id, responsive, warming_here, num_examined, .. } = self;
-        *num_examined += responsive.len() as u64;
-        let records = responsive.intersection(warming_here).filter_map(|server| by_id.get(server));
-        let at_full_capacity = records.filter_map(|record| {
-            let fraction = record.slow_start.capacity_fraction(now, settings)?;
-            Some(record.health.completions.rate(now) / fraction.max(MIN_CAPACITY_FRACTION))
-        });
-        let sum: f64 = at_full_capacity.sum();
-        sum / warming_here.len().max(1) as f64 / limiters_per_member(settings)
+    /// Returns the good responses per second of all servers that are warm and serving.
+    fn warm_responses_per_s(&mut self, now: Millis) -> f64 {
+        // Most servers of a large fleet have never responded to this limiter and are not looked at.
+        self.num_examined += self.responsive.len() as u64;
+        // The sum is in the order of the ids, so that the same events give the same sum.
+        let mut responses_per_s = 0.0;
+        for server in &self.responsive {
+            let Some(record) = self.by_id.get(server) else { continue };
+            if record.is_warm_and_serving() {
+                responses_per_s += record.health.completions.rate(now);
+            }
+        }
+        responses_per_s
     }
 
-    /// Good responses a second of the warm servers in service. Most servers of a large fleet have never
-    /// responded here.
-    fn warm_responses_per_s(&mut self, now: Millis) -> f64 {
-        let Endpoints { by_id, responsive, num_examined, .. } = self;
-        *num_examined += responsive.len() as u64;
-        let records = responsive.iter().filter_map(|server| by_id.get(server));
-        let warm = records.filter(|record| record.is_warm_and_serving());
-        // Summed in the order of the ids, so that the same events give the same sum.
-        warm.map(|record| record.health.completions.rate(now)).fold(0.0, |sum, rate| sum + rate)
+    /// Estimates the throughput of a warm server from the good responses of the servers in slow start: the
+    /// capacity that these show now, extrapolated to their full capacity. The budgets therefore grow by a
+    /// factor with each load that the servers have sustained. A member of a warming set sends the part of
+    /// several limiters, so that the responses of the member are divided by their number.
+    fn warming_throughput(&mut self, now: Millis, settings: &Settings) -> f64 {
+        self.num_examined += self.responsive.len() as u64;
+        let warming_here = self.slow_starts.warming_here();
+        let mut responses_per_s = 0.0;
+        for server in self.responsive.intersection(warming_here) {
+            let Some(record) = self.by_id.get(server) else { continue };
+            let Some(fraction) = record.slow_start.capacity_fraction(now, settings) else { continue };
+            responses_per_s += record.health.completions.rate(now) / fraction.max(MIN_CAPACITY_FRACTION);
+        }
+        responses_per_s / warming_here.len().max(1) as f64 / limiters_per_member(settings)
     }
 }
--- a/limiter-core/src/endpoints/tombstones.rs
+++ b/limiter-core/src/endpoints/tombstones.rs
@@ -1,39 +1,43 @@
-//! Servers that have departed recently.
+//! Tombstones: fingerprints of servers that departed recently, to be reported to peers that discovery does
+//! not answer.
 
 use std::collections::{HashSet, VecDeque};
 
+use super::record::Fingerprint;
 use crate::event::Millis;
 
-/// A server that drains or is gone.
-#[derive(Debug)]
-struct Tombstone {
-    heard_at: Millis,
-    fingerprint: u32,
-}
-
-/// Milliseconds for which a tombstone is reported: longer than an outage of discovery lasts, in which
-/// limiters may start.
+/// Time in milliseconds for which a tombstone is reported. Longer than an outage of discovery, during which
+/// limiters may be started.
 const RETENTION_MS: Millis = 300_000.0;
-/// Tombstones of one message.
+/// Tombstones of one gossip message: 48 lines of 5 bytes and a header of 8 bytes, in 256 bytes at most.
 pub(super) const TOMBSTONES_PER_MESSAGE: usize = 48;
-/// Most tombstones that are remembered and reported, eight messages: all servers of a usual fleet, and of the
-/// largest ones those that departed last. More messages would keep those on quotas waiting.
+/// Largest number of tombstones that are remembered and reported: eight messages. That covers all servers of
+/// a usual fleet, and the latest departures in the largest ones. More messages would delay those on quotas.
 const MAX_TOMBSTONES: usize = 8 * TOMBSTONES_PER_MESSAGE;
 
-/// Recent tombstones, the newest last, and the state of the polls.
+/// A server that is draining or was removed.
+#[derive(Debug)]
+struct Tombstone {
+    recorded_at: Millis,
+    fingerprint: Fingerprint,
+}
+
+/// The recent tombstones, and whether peers are polled for theirs.
 #[derive(Debug)]
 pub(crate) struct Tombstones {
-    /// Discovery does not answer.
+    /// Whether discovery does not answer. While that is so, peers are polled and their tombstones are
+    /// applied.
     pub discovery_lost: bool,
-    /// When a peer was last asked for tombstones.
+    /// Time of the last poll of a peer.
     pub(super) last_poll_at: Millis,
+    /// The tombstones in the order in which they were recorded.
     recent: VecDeque<Tombstone>,
-    /// Those of `recent`.
-    fingerprints: HashSet<u32>,
+    /// The fingerprints of `recent`.
+    fingerprints: HashSet<Fingerprint>,
 }
 
 impl Tombstones {
-    /// No tombstone yet.
+    /// Returns an empty log, for a limiter that has not lost discovery.
     pub fn new() -> Self {
         Tombstones {
             discovery_lost: false,
@@ -43,38 +47,38 @@
         }
     }
 
-    /// Remembers a tombstone, once.
-    pub fn record(&mut self, now: Millis, fingerprint: u32) {
+    /// Records that a server is draining or was removed. A tombstone that is present keeps its age.
+    pub(super) fn record(&mut self, now: Millis, fingerprint: Fingerprint) {
         self.expire(now);
         if !self.fingerprints.insert(fingerprint) {
             return;
         }
-        self.recent.push_back(Tombstone { heard_at: now, fingerprint });
+        self.recent.push_back(Tombstone { recorded_at: now, fingerprint });
         if self.recent.len() > MAX_TOMBSTONES {
-            self.forget_oldest();
+            self.remove_oldest();
         }
     }
 
-    /// Forgets the tombstone of a server that takes requests again.
-    pub fn forget(&mut self, fingerprint: u32) {
+    /// Removes the tombstone of a server that takes requests again.
+    pub(super) fn remove(&mut self, fingerprint: Fingerprint) {
         if self.fingerprints.remove(&fingerprint) {
             self.recent.retain(|tombstone| tombstone.fingerprint != fingerprint);
         }
     }
 
-    /// Fingerprints of the servers that have departed recently.
-    pub fn recent(&mut self, now: Millis) -> Vec<u32> {
+    /// Returns the fingerprints of the servers that departed recently, the oldest first.
+    pub(super) fn recent(&mut self, now: Millis) -> Vec<Fingerprint> {
         self.expire(now);
         self.recent.iter().map(|tombstone| tombstone.fingerprint).collect()
     }
 
     fn expire(&mut self, now: Millis) {
-        while self.recent.front().is_some_and(|oldest| now - oldest.heard_at >= RETENTION_MS) {
-            self.forget_oldest();
+        while self.recent.front().is_some_and(|oldest| now - oldest.recorded_at >= RETENTION_MS) {
+            self.remove_oldest();
         }
     }
 
-    fn forget_oldest(&mut self) {
+    fn remove_oldest(&mut self) {
         if let Some(oldest) = self.recent.pop_front() {
             self.fingerprints.remove(&oldest.fingerprint);
         }
--- a/limiter-core/src/gossip/mod.rs
+++ b/limiter-core/src/gossip/mod.rs
@@ -1,8 +1,38 @@
-//! Gossip between limiters: what a message looks like, and which are sent when.
+//! Gossip between limiters: the messages, their bytes, when they are sent, and what is done with those that
+//! arrive.
+//!
+//! Messages are datagrams: each may be lost, duplicated, delayed or reordered, and none is acknowledged.
+//!
+//! **Format of a message.** At most 256 bytes; all integers and floating-point numbers are big endian.
+//!
+//! | bytes | contents |
+//! | --- | --- |
+//! | 1 | magic number |
+//! | 2 | checksum over all other bytes |
+//! | 4 | incarnation of the sender, which tells one start of a limiter from another |
+//! | 1 | smoothed latency of the sender's responses, in 254ths of the latency objective; 255 for none |
+//! | the rest | lines: one byte for the kind, then the fields of that kind, each of a fixed length |
+//!
+//! A limiter ignores the whole message if the checksum is wrong, the last line is incomplete, a value is
+//! invalid, or **a line is of an unknown kind**: the length of such a line is unknown, so that the next one
+//! cannot be found. Old and new limiters run side by side during a release. A new kind of line must therefore
+//! not share a message with lines that old limiters depend on.
+//!
+//! **Which file holds what:**
+//!
+//! | file | contents |
+//! | --- | --- |
+//! | `messages` | the messages and their lines as types |
+//! | `codec` | the bytes of each |
+//! | `queue` | messages that wait to be sent, their bounds, and the allowance for sending |
+//! | `flush` | what is queued, sent at once, or dropped as useless |
+//! | `receive` | what is done with each line that arrives |
 
 mod codec;
-mod delivery;
+mod flush;
+mod messages;
 mod queue;
+mod receive;
 
-pub(crate) use codec::{GossipLine, GrantReply, QuotaRequest, Settlement};
+pub(crate) use messages::{GossipLine, GrantReply, QuotaRequest, Settlement};
 pub(crate) use queue::GossipQueue;
--- a/limiter-core/src/gossip/queue.rs
+++ b/limiter-core/src/gossip/queue.rs
@@ -1,78 +1,128 @@
-//! Gossip that waits to be sent.
+//! The queue of gossip messages, and the allowance for sending them.
 
 use std::collections::VecDeque;
 
-use super::codec::{fits_beside, GossipLine};
+use super::codec::has_space_for;
+use super::messages::GossipLine;
 use crate::event::{Millis, RequestId};
 use crate::token_bucket::TokenBucket;
 
-/// Most messages that wait.
-const MAX_WAITING: usize = 256;
+/// Largest number of queued messages: hundreds of peers may poll a limiter that may send next to nothing.
+/// With 256 bytes each at most, the queue holds 64 KiB of messages at most.
+const MAX_QUEUED_MESSAGES: usize = 256;
+/// Time in seconds for which this limiter may save up its allowance. A queue that takes longer to send is
+/// congested.
+const BURST_S: f64 = 0.1;
+/// Shortest time to the next flush in milliseconds.
+const MIN_FLUSH_DELAY_MS: Millis = 1.0;
 
-/// A line, and since when it waits.
+/// A line in the queue.
 #[derive(Debug)]
-pub(super) struct WaitingLine {
-    pub since: Millis,
+pub(super) struct QueuedLine {
+    /// When the line was queued.
+    pub queued_at: Millis,
+    /// The line.
     pub line: GossipLine,
 }
 
-/// Lines that wait for one peer.
+/// The lines of one message in the queue.
 #[derive(Debug)]
-pub(super) struct WaitingMessage {
+pub(super) struct QueuedMessage {
+    /// Position of the receiver.
     pub to: u32,
-    pub lines: Vec<WaitingLine>,
+    /// The lines in the order in which they were queued.
+    pub lines: Vec<QueuedLine>,
 }
 
-/// Messages that wait for the allowance.
+/// The messages that wait for the allowance.
 #[derive(Debug)]
 pub(crate) struct GossipQueue {
-    /// Messages in the order in which they were begun.
-    pub(super) waiting: VecDeque<WaitingMessage>,
-    /// Messages that may be sent now.
-    pub(super) allowance: TokenBucket,
-    /// A timer for the next flush is set.
+    /// Messages in the order in which their first lines were queued.
+    messages: VecDeque<QueuedMessage>,
+    /// Number of messages that may be sent now.
+    allowance: TokenBucket,
+    /// Whether a timer for the next flush is set.
     pub(crate) flush_scheduled: bool,
 }
 
 impl GossipQueue {
-    /// Nothing waits, and one message may be sent.
+    /// Returns an empty queue with an allowance of one message.
     pub fn new(now: Millis) -> Self {
         GossipQueue {
-            waiting: VecDeque::new(),
+            messages: VecDeque::new(),
             allowance: TokenBucket::new(1.0, now),
             flush_scheduled: false,
         }
     }
 
-    /// Messages that wait.
+    /// Returns the number of queued messages.
     pub fn len(&self) -> usize {
-        self.waiting.len()
+        self.messages.len()
     }
 
-    /// Adds a line to a message to a peer that has room, or to a new one.
+    /// Adds a line to the first queued message to the receiver that has space for the line, or else to a new
+    /// message.
     pub(super) fn push(&mut self, now: Millis, to: u32, line: GossipLine) {
-        let has_room = |message: &&mut WaitingMessage| {
-            message.to == to && fits_beside(message.lines.iter().map(|waiting| &waiting.line), &line)
-        };
-        match self.waiting.iter_mut().find(has_room) {
-            Some(message) => message.lines.push(WaitingLine { since: now, line }),
+        let with_space = self.messages.iter_mut().find(|message| {
+            message.to == to && has_space_for(&line, message.lines.iter().map(|queued| &queued.line))
+        });
+        match with_space {
+            Some(message) => message.lines.push(QueuedLine { queued_at: now, line }),
             None => self.push_message(now, to, vec![line]),
         }
     }
 
-    /// Adds a message of its own; beyond the bound the oldest are dropped.
+    /// Adds a new message. The oldest messages beyond the bound of the queue are dropped.
     pub fn push_message(&mut self, now: Millis, to: u32, lines: Vec<GossipLine>) {
-        let lines = lines.into_iter().map(|line| WaitingLine { since: now, line }).collect();
-        self.waiting.push_back(WaitingMessage { to, lines });
-        self.waiting.drain(..self.waiting.len().saturating_sub(MAX_WAITING));
+        let lines = lines.into_iter().map(|line| QueuedLine { queued_at: now, line }).collect();
+        self.messages.push_back(QueuedMessage { to, lines });
+        let num_excess = self.messages.len().saturating_sub(MAX_QUEUED_MESSAGES);
+        self.messages.drain(..num_excess);
     }
 
-    /// Whether the request of a grant still waits to be sent to an owner.
+    /// Returns whether a request for a grant, as opposed to a report of spent units, is still in the queue.
     pub fn has_unsent_quota_request(&self, owner: u32, id: RequestId) -> bool {
-        let asks = |waiting: &WaitingLine| match waiting.line {
+        let is_request = |queued: &QueuedLine| match queued.line {
             GossipLine::QuotaRequest(request) => request.id == id && !request.already_spent,
             _ => false,
         };
-        self.waiting.iter().any(|message| message.to == owner && message.lines.iter().any(asks))
+        self.messages.iter().any(|message| message.to == owner && message.lines.iter().any(is_request))
+    }
+
+    /// Adds to the allowance for the time since the last refill, at `rate` messages per second.
+    pub(super) fn refill_allowance(&mut self, now: Millis, rate: f64) {
+        self.allowance.refill(now, rate, (rate * BURST_S).max(1.0));
+    }
+
+    /// Removes the next message to be sent, if there is one and the allowance permits one more message.
+    ///
+    /// Messages are sent in the order of the queue while all of them are sent soon: otherwise the few peers
+    /// of a small deployment would starve each other. In a congested queue the newest message is next: in the
+    /// order of the queue, each reply would arrive too late, would be requested again, and would so lengthen
+    /// the queue.
+    pub(super) fn pop(&mut self, rate: f64) -> Option<QueuedMessage> {
+        if self.allowance.level < 1.0 {
+            return None;
+        }
+        let is_congested = self.messages.len() as f64 > rate * BURST_S;
+        if is_congested {
+            self.messages.pop_back()
+        } else {
+            self.messages.pop_front()
+        }
+    }
+
+    /// Deducts a message that is sent.
+    pub(super) fn spend_allowance(&mut self) {
+        self.allowance.level -= 1.0;
+    }
+
+    /// Returns after which time the next message may be sent, if a timer has to be set for that.
+    pub(super) fn next_flush_in_ms(&self, rate: f64, event_interval_ms: Millis) -> Option<Millis> {
+        if self.flush_scheduled || self.messages.is_empty() || rate <= 0.0 {
+            return None;
+        }
+        let min_delay_ms = event_interval_ms.max(MIN_FLUSH_DELAY_MS);
+        Some(((1.0 - self.allowance.level) * 1000.0 / rate).max(min_delay_ms))
     }
 }
--- /dev/null
+++ b/limiter-core/src/gossip/receive.rs
@@ -0,0 +1,60 @@
+//! Gossip that arrives: what is done with each line of a message.
+
+use super::messages::{GossipLine, GossipMessage};
+use crate::event::Action;
+use crate::limiter::Limiter;
+use crate::quota::GrantKey;
+
+impl Limiter {
+    /// Handles a gossip message from a peer. A message that is malformed or that no peer can have sent is
+    /// ignored.
+    pub(crate) fn on_gossip(&mut self, from: u32, body: &[u8], out: &mut Vec<Action>) {
+        if from >= self.context.settings.limiters || from == self.context.settings.position {
+            return;
+        }
+        let Some(message) = GossipMessage::decode(body) else { return };
+        if message.is_from_serving_limiter() {
+            self.has_serving_peer = true;
+        }
+        self.member_quotas.gossip_received(from);
+        if let Some(latency) = message.latency {
+            self.admission.record_peer_latency(self.context.now, latency);
+        }
+        for line in message.lines {
+            self.on_gossip_line(from, message.incarnation, line, out);
+        }
+    }
+
+    fn on_gossip_line(&mut self, from: u32, incarnation: u32, line: GossipLine, out: &mut Vec<Action>) {
+        match line {
+            GossipLine::QuotaRequest(request) => {
+                // Messages that arrived during a stall are handled right after it. Their senders no longer
+                // wait, so that a reply would only waste units.
+                let has_just_resumed = self.resumed_at >= self.context.now;
+                if has_just_resumed {
+                    return;
+                }
+                let key = GrantKey { member: from, incarnation, request: request.id };
+                if let Some(reply) = self.owned_quotas.decide(&self.context, key, &request) {
+                    self.send_gossip(from, GossipLine::GrantReply(reply), out);
+                }
+            }
+            GossipLine::GrantReply(reply) => {
+                // A reply to an earlier incarnation may carry the id of a request of this one.
+                if reply.member_incarnation == self.context.incarnation {
+                    self.on_grant_reply(from, &reply, out);
+                }
+            }
+            GossipLine::Settlement(settlement) => {
+                let key = GrantKey { member: from, incarnation, request: settlement.id };
+                self.owned_quotas.settle(&self.context, key, settlement);
+            }
+            GossipLine::TombstonePoll => self.send_tombstones(from, out),
+            GossipLine::Tombstone(fingerprint) => {
+                if self.tombstones.discovery_lost {
+                    self.on_tombstone(fingerprint);
+                }
+            }
+        }
+    }
+}
--- a/test.sh
+++ b/test.sh
@@ -15,9 +15,12 @@
     limiter-core/src/lib.rs
     limiter-core/src/context.rs
     limiter-core/src/decay.rs
+    limiter-core/src/endpoints/ejection_log.rs
+    limiter-core/src/endpoints/latency.rs
     limiter-core/src/endpoints/mod.rs
     limiter-core/src/event.rs
     limiter-core/src/gossip/codec.rs
+    limiter-core/src/gossip/messages.rs
     limiter-core/src/gossip/mod.rs
     limiter-core/src/hashing.rs
     limiter-core/src/limiter.rs
