--- a/limiter-core/src/endpoints/mod.rs
+++ b/limiter-core/src/endpoints/mod.rs
@@ -1,11 +1,12 @@
 //! The announced servers: which one gets an attempt, which are ejected, and which are in slow start.
 //!
 //! **What happens to an announcement.** Discovery announces either all servers or those that changed.
-//! `announcements` passes the list to the registry ([`Endpoints`]), which first records the start times, then
-//! removes servers that a complete list does not name or that are announced as removed, and then installs the
-//! others. A server whose start is announced for the first time begins a slow start, unless it is known to
-//! have started long ago. Draining and removed servers leave a tombstone, which peers may poll while
-//! discovery does not answer them. At last, queued requests are forwarded if a server may have them now.
+//! `announcements` passes the list to the registry ([`Endpoints`]). The registry first records the start
+//! times, then removes the servers that a complete list does not name, and then applies the entries in the
+//! order of the list: removed servers are removed, all others are installed or updated. A server whose start
+//! is announced for the first time begins a slow start, unless it is known to have started long ago. Draining
+//! and removed servers leave a tombstone, which is sent to peers that discovery does not answer. Finally,
+//! queued requests are forwarded if a server may have them now.
 //!
 //! **What happens to an attempt whose server is removed.** The attempt stays in flight, and its response
 //! counts. Its end frees its slots and counts in the baseline latency of all servers, but changes no record:
--- a/limiter-core/src/endpoints/routing.rs
+++ b/limiter-core/src/endpoints/routing.rs
@@ -89,6 +89,8 @@
             self.consider(context, request, &server, &mut search);
             num_visited += 1;
         }
+        // Slow starts of other warming sets are due as well when they may have ended: their servers are
+        // candidates from then on.
         let warming_elsewhere =
             self.ring.not_visited(first, num_visited, self.slow_starts.due_for_refill(now));
         for server in warming_elsewhere {
@@ -112,7 +114,7 @@
         let may_send = record.may_send_new_attempt(context.now, self.warm_throughput, &context.settings);
         let is_warming = record.slow_start.is_warming();
         if may_send && drops_duplicates_of(request, record, &context.settings) {
-            let candidate = record.rate(context, request, self.baseline_latency.value_ms());
+            let candidate = record.evaluate(context, request, self.baseline_latency.value_ms());
             search.add(server, &candidate);
         }
         if was_warming && !is_warming {
@@ -134,7 +136,7 @@
 
     /// Returns this server as a candidate for a request. Draws a random number unless the server is a last
     /// choice.
-    fn rate(&self, context: &mut Context, request: &PendingRequest, baseline_ms: Millis) -> Candidate {
+    fn evaluate(&self, context: &mut Context, request: &PendingRequest, baseline_ms: Millis) -> Candidate {
         let was_tried_last = request.last_server.as_ref() == Some(&self.endpoint.server);
         let is_last_choice = self.health.is_ejected(context.now) || was_tried_last;
         let factor =
--- a/limiter-core/src/endpoints/slow_start.rs
+++ b/limiter-core/src/endpoints/slow_start.rs
@@ -13,7 +13,7 @@
 use crate::settings::Settings;
 use crate::token_bucket::TokenBucket;
 
-/// Shortest slow start in milliseconds. Guards the division by the setting, of which 0 means no slow start.
+/// Shortest slow start in milliseconds. Guards a division: a setting of 0 means that there is no slow start.
 const MIN_SLOW_START_MS: Millis = 1.0;
 /// Number of limiters that send to a server in slow start. Each may have saved up one request, so that
 /// hundreds of limiters could overload the server at one moment, and each would have to open a connection.
@@ -43,14 +43,13 @@
 struct Warming {
     /// Start of the server on this limiter's clock. Never earlier than the true start.
     since: Millis,
-    /// Whether this limiter belongs to the warming set.
-    is_member: bool,
-    /// Requests that this limiter may send to the server. Spent by members of the warming set only.
-    budget: TokenBucket,
+    /// Requests that this limiter may send to the server, or `None` if the limiter does not belong to the
+    /// warming set and sends nothing.
+    budget: Option<TokenBucket>,
 }
 
-/// Returns the guaranteed fraction of a server's capacity at a point of its slow start, which runs from 0 to
-/// 1.
+/// Returns the guaranteed fraction of a server's capacity after the elapsed fraction `progress` of its slow
+/// start.
 fn guaranteed_capacity_fraction(progress: f64, settings: &Settings) -> f64 {
     let cold = settings.cold_capacity_fraction;
     cold + (1.0 - cold) * progress.max(0.0)
@@ -93,7 +92,7 @@
 
     /// Returns whether the server warms up and this limiter belongs to its warming set.
     pub(super) fn is_in_warming_set(&self) -> bool {
-        self.warming.as_ref().is_some_and(|warming| warming.is_member)
+        self.warming.as_ref().is_some_and(|warming| warming.budget.is_some())
     }
 
     /// Returns the guaranteed fraction of the server's capacity, or `None` if the slow start has ended.
@@ -105,15 +104,16 @@
     /// Returns whether this limiter may send a request to the server as far as the slow start is concerned.
     pub(super) fn has_budget(&self) -> bool {
         match &self.warming {
-            Some(warming) => warming.is_member && warming.budget.level >= 1.0,
+            Some(warming) => warming.budget.is_some_and(|budget| budget.level >= 1.0),
             None => true,
         }
     }
 
     /// Deducts a request that is sent to the server.
     pub(super) fn spend(&mut self) {
-        if let Some(warming) = &mut self.warming {
-            warming.budget.level -= 1.0;
+        let Some(warming) = &mut self.warming else { return };
+        if let Some(budget) = &mut warming.budget {
+            budget.level -= 1.0;
         }
     }
 
@@ -142,11 +142,9 @@
         }
         let saved_up = if start_times.observed_since_start() { context.rng.f64() } else { 0.0 };
         let rank = rendezvous_rank(endpoint_hash(endpoint), settings.position, settings.limiters);
-        self.warming = Some(Warming {
-            since: context.now - min_age_ms,
-            is_member: rank < WARMING_SET_SIZE as usize,
-            budget: TokenBucket::new(saved_up, context.now),
-        });
+        let is_in_warming_set = rank < WARMING_SET_SIZE as usize;
+        let budget = if is_in_warming_set { Some(TokenBucket::new(saved_up, context.now)) } else { None };
+        self.warming = Some(Warming { since: context.now - min_age_ms, budget });
     }
 
     /// Ends the slow start if its time is over; otherwise adds to the budget what the server may be sent for
@@ -161,9 +159,10 @@
             self.warming = None;
             return;
         }
+        let Some(budget) = &mut warming.budget else { return };
         let capacity_fraction = guaranteed_capacity_fraction(progress, settings);
         let measured_rate = warm_throughput * capacity_fraction * BUDGET_FRACTION * settings.overload_factor;
         let rate = measured_rate.max(min_rate(settings));
-        warming.budget.refill(now, rate * limiters_per_member(settings), BUDGET_CAPACITY);
+        budget.refill(now, rate * limiters_per_member(settings), BUDGET_CAPACITY);
     }
 }
--- a/limiter-core/src/endpoints/start_times.rs
+++ b/limiter-core/src/endpoints/start_times.rs
@@ -20,7 +20,7 @@
 enum DiscoveryState {
     /// Discovery has announced nothing to this process. An announced change may have happened at any time.
     NeverConnected,
-    /// An announced change has just happened.
+    /// Discovery announces changes as they happen. A start that is announced now has just happened.
     Connected,
     /// Discovery failed at this time. The next announced change may have happened at any time since.
     DisconnectedSince(Millis),
@@ -29,6 +29,7 @@
 /// What is known of the clock of the announced start times, and of the connection to discovery.
 #[derive(Debug)]
 pub(super) struct StartTimes {
+    /// Bounds how long ago a start that is announced now can have happened.
     discovery: DiscoveryState,
     /// Lower bound of the announced clock minus this limiter's clock: no announced start was in the future.
     min_clock_offset_ms: Millis,
--- a/limiter-core/src/endpoints/throughput.rs
+++ b/limiter-core/src/endpoints/throughput.rs
@@ -29,7 +29,7 @@
             return;
         }
         // A limiter that has just started has counted responses for a short time only. Without the
-        // extrapolation, the servers would get too few requests for seconds.
+        // extrapolation, the servers in slow start would get too few requests for seconds.
         let age_ms = (now - context.started_at).max(RESPONSE_TIME_CONSTANT_MS * MIN_MEASURED_FRACTION);
         let measured_fraction = 1.0 - (-age_ms / RESPONSE_TIME_CONSTANT_MS).exp();
         self.warm_throughput = self.warm_responses_per_s(now) / measured_fraction / self.num_warm() as f64;
--- a/limiter-core/tests/gossip_messages.rs
+++ b/limiter-core/tests/gossip_messages.rs
@@ -1,6 +1,9 @@
-//! Gossip messages that come twice, late, malformed or from the wrong sender.
+//! Gossip messages that are duplicated, late, malformed or from the wrong sender.
 
 mod common;
+
+use std::ops::Range;
+
 use common::*;
 use limiter_core::*;
 
@@ -12,13 +15,15 @@
 }
 
 impl QuotaRequest {
-    /// For the first request of the customer at the first limiter that does not own the quota.
+    /// Returns the message for the first request of the customer at the first limiter that does not own the
+    /// quota.
     fn new(plan: usize) -> QuotaRequest {
         let mut requests = (0..LIMITERS).filter_map(|from| QuotaRequest::sent_by(from, plan));
         requests.next().expect("one of three is not the owner")
     }
 
-    /// For the first request of the customer at this limiter, if it has to ask another.
+    /// Returns the message for the first request of the customer at this limiter, unless the limiter owns the
+    /// quota.
     fn sent_by(from: u32, plan: usize) -> Option<QuotaRequest> {
         let actions = TestLimiter::new(settings(from), 3).submit(request(1, IDEMPOTENT, plan));
         let SentGossip { to, body } = sent_gossip(actions).into_iter().next()?;
@@ -26,8 +31,8 @@
     }
 }
 
-/// Guards against a limiter that goes on after a stall and replies to a backlog of quota requests that nobody waits
-/// for.
+/// Guards against replies to a backlog of quota requests after a stall: their senders no longer wait for
+/// them.
 #[test]
 fn quota_requests_that_waited_through_a_stall_get_no_reply() {
     let QuotaRequest { from, to, body } = QuotaRequest::new(WITH_RATE);
@@ -41,30 +46,49 @@
     assert_eq!(num_replies_after(2000.0), 0);
 }
 
+/// Returns what a limiter does when it receives a message as the first thing after its start.
+fn actions_on(at: u32, from: u32, body: Vec<u8>) -> Vec<Action> {
+    TestLimiter::new(settings(at), 3).receive_gossip(from, body)
+}
+
+/// The intact message gets a reply: this is what the tests of malformed messages compare with.
+fn intact_quota_request() -> QuotaRequest {
+    let request = QuotaRequest::new(WITH_CEILING);
+    assert_eq!(actions_on(request.to, request.from, request.body.clone()).len(), 1, "no reply");
+    request
+}
+
 #[test]
-fn malformed_messages_and_messages_of_wrong_senders_change_nothing() {
-    let QuotaRequest { from, to, body } = QuotaRequest::new(WITH_CEILING);
-    let actions_on = |from: u32, body: Vec<u8>| TestLimiter::new(settings(to), 3).receive_gossip(from, body);
-    assert_eq!(actions_on(from, body.clone()).len(), 1, "the quota request itself has a reply");
+fn truncated_and_altered_messages_change_nothing() {
+    let QuotaRequest { from, to, body } = intact_quota_request();
     for length in 0..body.len() {
-        assert!(actions_on(from, body[..length].to_vec()).is_empty(), "truncated at {length}");
+        let truncated = body[..length].to_vec();
+        assert!(actions_on(to, from, truncated).is_empty(), "truncated to {length} bytes");
     }
-    for at in 0..body.len() {
-        let mut flipped = body.clone();
-        flipped[at] ^= 1;
-        assert!(actions_on(from, flipped).is_empty(), "flipped at {at}");
+    for position in 0..body.len() {
+        let mut altered = body.clone();
+        altered[position] ^= 1;
+        assert!(actions_on(to, from, altered).is_empty(), "altered at byte {position}");
     }
     let too_long = [&body[..], &[0; 5]].concat();
+    assert!(actions_on(to, from, too_long).is_empty());
+}
+
+#[test]
+fn malformed_messages_and_messages_of_wrong_senders_change_nothing() {
+    let QuotaRequest { from, to, body } = intact_quota_request();
     let unknown_sender = 9;
-    for (from, body) in
-        [(from, too_long), (unknown_sender, body.clone()), (to, body), (from, vec![0xfa; 40]), (from, vec![])]
-    {
-        assert!(actions_on(from, body).is_empty());
-    }
+    assert!(actions_on(to, unknown_sender, body.clone()).is_empty());
+    let itself = to;
+    assert!(actions_on(to, itself, body).is_empty());
+    let no_message = vec![0xfa; 40];
+    assert!(actions_on(to, from, no_message).is_empty());
+    let empty = vec![];
+    assert!(actions_on(to, from, empty).is_empty());
 }
 
 #[test]
-fn a_quota_request_that_comes_twice_is_debited_once() {
+fn a_duplicated_quota_request_is_debited_once() {
     let QuotaRequest { from, to, body } = QuotaRequest::new(WITH_RATE);
     let num_admitted_after = |copies: usize| {
         let mut owner = TestLimiter::new(settings(to), 3);
@@ -74,48 +98,55 @@
         }
         (2..40).filter(|id| is_forwarded(&owner.submit(request(*id, IDEMPOTENT, WITH_RATE)))).count()
     };
-    assert_eq!(num_admitted_after(1) + 1, num_admitted_after(0), "it is debited");
+    assert_eq!(num_admitted_after(1) + 1, num_admitted_after(0), "the request is debited");
     assert_eq!(num_admitted_after(1), num_admitted_after(5));
 }
 
-/// Layout of a gossip message, as in `src/gossip/codec.rs`: the checksum stands behind the first byte.
-const CHECKSUM: std::ops::Range<usize> = 1..3;
+/// Position of the checksum in a message, as in `src/gossip/codec.rs`.
+const CHECKSUM_RANGE: Range<usize> = 1..3;
+/// Modulus of the checksum, as in `src/gossip/codec.rs`.
 const CHECKSUM_MODULUS: u32 = 65_521;
-/// A kind of line that no version has.
+/// A kind of line that no version sends.
 const UNKNOWN_KIND: u8 = 250;
 
-/// The message with a line added that a later version may send.
+/// Returns the message with another line, of a kind that a later version may send, and with a valid checksum.
 fn with_unknown_line(body: &[u8]) -> Vec<u8> {
     let mut body = [body, &[UNKNOWN_KIND, 1, 2, 3]].concat();
-    let counted = body.iter().zip(0u32..).filter(|(_, at)| !CHECKSUM.contains(&(*at as usize)));
-    let sum = counted.map(|(byte, at)| u32::from(*byte) * (2 * at + 3)).fold(0, u32::wrapping_add);
-    body[CHECKSUM].copy_from_slice(&((sum % CHECKSUM_MODULUS) as u16).to_be_bytes());
+    let mut sum: u32 = 0;
+    for (position, byte) in (0u32..).zip(&body) {
+        if !CHECKSUM_RANGE.contains(&(position as usize)) {
+            sum = sum.wrapping_add(u32::from(*byte) * (2 * position + 3));
+        }
+    }
+    let checksum = (sum % CHECKSUM_MODULUS) as u16;
+    body[CHECKSUM_RANGE].copy_from_slice(&checksum.to_be_bytes());
     body
 }
 
-/// A message is taken in whole or not at all, also one with a kind of line that a later version may send.
+/// A message is handled completely or not at all. The length of an unknown line is unknown, so that the lines
+/// after it cannot be read.
 #[test]
 fn a_message_with_an_unknown_line_changes_nothing() {
     let QuotaRequest { from, to, body } = QuotaRequest::new(WITH_RATE);
     let mut owner = TestLimiter::new(settings(to), 3);
     assert_eq!(owner.receive_gossip(from, with_unknown_line(&body)), []);
-    assert_eq!(owner.receive_gossip(from, body).len(), 1, "without it the quota request has a reply");
+    assert_eq!(owner.receive_gossip(from, body).len(), 1, "no reply without the unknown line");
 }
 
-/// Guards against memory without bound: hundreds of peers may poll a limiter that may send next to nothing.
+/// Guards against unbounded memory: hundreds of peers may poll a limiter that may send next to nothing.
 #[test]
 fn replies_to_polls_wait_within_the_bound_of_the_queue() {
     const PEERS: u32 = 900;
-    let alone_in_touch = Settings { must_subscribe: true, ..settings_among(PEERS, 0) };
-    let mut asking = TestLimiter::new(Settings { position: 1, ..alone_in_touch.clone() }, 1);
-    asking.handle(Event::WatchFailed);
-    let poll = sent_gossip(asking.advance(600.0)).into_iter().next().expect("a poll").body;
-    let slow = Settings { gossip_messages_per_s: 0.1, ..alone_in_touch };
+    let subscribed = Settings { must_subscribe: true, ..settings_among(PEERS, 0) };
+    let mut disconnected = TestLimiter::new(Settings { position: 1, ..subscribed.clone() }, 1);
+    disconnected.handle(Event::WatchFailed);
+    let poll = sent_gossip(disconnected.advance(600.0)).into_iter().next().expect("a poll").body;
+    let slow = Settings { gossip_messages_per_s: 0.1, ..subscribed };
     let mut limiter = TestLimiter::new(slow, 3);
     limiter.change_endpoints(vec![draining(0)]);
     for peer in 1..PEERS {
         limiter.receive_gossip(peer, poll.clone());
     }
-    let waiting = limiter.limiter.cache_sizes().gossip_messages;
-    assert!((1..=256).contains(&waiting), "{waiting} messages wait");
+    let num_queued = limiter.limiter.cache_sizes().gossip_messages;
+    assert!((1..=256).contains(&num_queued), "{num_queued} messages are queued");
 }
--- a/limiter-core/tests/server_selection.rs
+++ b/limiter-core/tests/server_selection.rs
@@ -1,7 +1,8 @@
-//! Which server a request is forwarded to: the endpoint list, weights, slow start and the ejection of unhealthy
-//! servers.
+//! The server that a request is forwarded to: the endpoint list, weights, slow start and the ejection of
+//! unhealthy servers.
 
 mod common;
+
 use std::collections::{BTreeSet, VecDeque};
 
 use common::*;
@@ -23,6 +24,7 @@
     assert_all_go_to(&mut limiter, server(1));
 }
 
+/// Asserts that 50 requests are forwarded to one server only.
 fn assert_all_go_to(limiter: &mut TestLimiter, only: ServerId) {
     for id in 0..50 {
         let servers = forwarded_to(&limiter.submit(request(id, IDEMPOTENT, UNLIMITED)));
@@ -41,7 +43,7 @@
 }
 
 #[test]
-fn a_server_in_slow_start_gets_only_its_share() {
+fn a_server_in_slow_start_gets_less_than_an_even_share() {
     let mut limiter = TestLimiter::new(settings(0), 3);
     limiter.change_endpoints(vec![started_at(9, limiter.now)]);
     let mut to_cold = 0;
@@ -51,11 +53,12 @@
         limiter.advance(10.0);
         limiter.respond(id, 10.0);
     }
-    // 100 a second over four servers for 2 s: an even share would be 50, a fifth to two fifths of it is right.
+    // 200 requests at four servers within 2 s: an even share would be 50. The server has a fifth of its
+    // capacity at first and about two fifths in the end.
     assert!((1..=20).contains(&to_cold), "{to_cold}");
 }
 
-/// Guards against the ejection of healthy servers for a few slow requests.
+/// Guards against the ejection of healthy servers because of a few slow requests.
 #[test]
 fn one_slow_request_ejects_no_server() {
     let mut limiter = TestLimiter::new(settings(0), 2);
@@ -71,13 +74,14 @@
     assert_eq!(servers.len(), 2);
 }
 
-/// An attempt at a healthy server, whose response is still to come.
+/// An attempt at a healthy server that has not responded yet.
 struct InFlightAttempt {
     id: RequestId,
     attempt: u32,
 }
 
-/// Guards against a server that attracts all requests because its errors come faster than the responses of others.
+/// Guards against a server that attracts all requests because its errors are faster than the responses of
+/// others.
 #[test]
 fn a_server_that_fails_fast_is_ejected() {
     let mut limiter = TestLimiter::new(settings(0), 3);
@@ -95,7 +99,8 @@
             servers = forwarded_to(&limiter.end_attempt(id, attempt, Outcome::Error, 1.0));
             attempt += 1;
         }
-        // The healthy servers are kept busy, so that the failing one looks free.
+        // The healthy servers have attempts in flight all the time, so that the failing one has the least
+        // load.
         while at_healthy_servers.len() > 30 {
             let InFlightAttempt { id, attempt } = at_healthy_servers.pop_front().expect("not empty");
             limiter.end_attempt(id, attempt, Outcome::Ok, 100.0);
@@ -105,12 +110,48 @@
     assert!((1..12).contains(&num_failing), "{num_failing} attempts went to the failing server");
 }
 
+/// Sends four requests to the only server, applies changes of the endpoint list, and ends all four with
+/// errors. Then announces server 1 as well and returns whether any of 20 further requests is forwarded to
+/// server 0.
+fn is_used_after_errors_of_earlier_attempts(changes: Vec<Endpoint>) -> bool {
+    let mut limiter = TestLimiter::new(settings(0), 1);
+    for id in 0..4 {
+        let servers = forwarded_to(&limiter.submit(request(id, NON_IDEMPOTENT, UNLIMITED)));
+        assert_eq!(servers, [server(0)]);
+    }
+    for change in changes {
+        limiter.change_endpoints(vec![change]);
+    }
+    for id in 0..4 {
+        limiter.end_attempt(id, 0, Outcome::Error, 10.0);
+    }
+    limiter.change_endpoints(vec![endpoint(1)]);
+    let mut servers = Vec::new();
+    for id in 10..30 {
+        servers.extend(forwarded_to(&limiter.submit(request(id, IDEMPOTENT, UNLIMITED))));
+    }
+    servers.contains(&server(0))
+}
+
+/// The errors of attempts that were sent before a server was removed tell nothing of the server that is
+/// announced again under the same id.
+#[test]
+fn attempts_at_a_removed_server_do_not_count_against_its_successor() {
+    let removed = Endpoint { state: EndpointState::Removed, ..endpoint(0) };
+    assert!(is_used_after_errors_of_earlier_attempts(vec![removed, endpoint(0)]));
+    assert!(
+        !is_used_after_errors_of_earlier_attempts(vec![]),
+        "the server is ejected if it was never removed"
+    );
+}
+
 /// Settings of a limiter in a fleet of hundreds.
 fn settings_in_large_fleet() -> Settings {
     settings_among(900, 450)
 }
 
-/// Records looked at for each of 200 requests in a second, their control steps included.
+/// Returns how many records a limiter looks at per request, for 200 requests within a second and including
+/// the control steps of that second.
 fn examined_per_request(servers: u32, change: impl Fn(&mut TestLimiter)) -> f64 {
     const REQUESTS: u32 = 200;
     let mut limiter = TestLimiter::new(settings_in_large_fleet(), servers);
@@ -124,17 +165,17 @@
     (limiter.limiter.num_endpoints_examined() - before) as f64 / f64::from(REQUESTS)
 }
 
-/// A server that a limiter does not use costs it nothing between changes of the list. Of 3,200 servers one of 900 limiters
-/// uses 28.
+/// Between changes of the list, a server that a limiter does not use costs nothing. Of 3,200 servers each of
+/// 900 limiters uses 28.
 #[test]
 fn servers_that_are_not_used_cost_nothing() {
     let examined = examined_per_request(3200, |_| {});
     assert!(examined <= 40.0, "{examined} records for each request");
 }
 
-/// Of 400 servers that warm up at once a limiter looks at those whose warming set it belongs to, about five.
+/// Of 400 servers in slow start, a limiter looks only at those whose warming set it belongs to: about five.
 #[test]
-fn servers_that_warm_up_elsewhere_cost_nothing() {
+fn servers_in_slow_start_cost_nothing_outside_of_their_warming_set() {
     let examined = examined_per_request(3200, |limiter| {
         let started = limiter.now;
         limiter.change_endpoints((3200..3600).map(|n| started_at(n, started)).collect());
--- a/limiter-core/tests/tombstones.rs
+++ b/limiter-core/tests/tombstones.rs
@@ -1,4 +1,4 @@
-//! What limiters report to each other of departed servers while discovery does not answer.
+//! Tombstones: what limiters report to each other about departed servers while discovery does not answer.
 
 mod common;
 
@@ -7,47 +7,54 @@
 use common::*;
 use limiter_core::*;
 
+/// Limiters of the network.
 const LIMITERS: u32 = 6;
 /// Servers of most tests.
 const FEW: u32 = 4;
-/// Servers of a usual fleet, so many that those which depart do not fit into one message.
+/// Servers of a usual fleet: so many that the tombstones of a release do not fit into one message.
 const MANY: u32 = 200;
-/// The limiter that starts while discovery is silent.
-const NEW: usize = 5;
-/// A new limiter that discovery does not answer takes clients this long after it has taken its configured list.
+/// Position of the limiter that is restarted while discovery does not answer.
+const RESTARTED: usize = 5;
+/// A limiter that discovery does not answer accepts clients this long after it has installed its configured
+/// list.
 const TIME_TO_READINESS_MS: Millis = 250.0;
 
-/// A fleet before so many servers whose lists are pushed, and which was announced these changes.
-fn fleet_notified_of(servers: u32, changes: Vec<Endpoint>) -> TestNetwork {
+/// Returns a network of limiters that have been notified of these changes. The endpoint list is pushed to
+/// them.
+fn network_notified_of(servers: u32, changes: Vec<Endpoint>) -> TestNetwork {
     let mut network = TestNetwork::new(LIMITERS, servers, 7);
     network.advance(1000.0);
-    notify(&mut network, changes);
+    notify_all(&mut network, changes);
     network
 }
 
-fn notify(network: &mut TestNetwork, changes: Vec<Endpoint>) {
+/// Announces changes to all limiters.
+fn notify_all(network: &mut TestNetwork, changes: Vec<Endpoint>) {
     for limiter in 0..LIMITERS as usize {
         network.handle(limiter, endpoints_changed(changes.clone()));
     }
     network.advance(500.0);
 }
 
-/// Replaces a limiter by a new process with an old list, which discovery does not answer.
-fn start_in_outage(network: &mut TestNetwork, servers: u32) {
-    network.limiters[NEW] = TestLimiter::without_endpoints(network.now, settings_among(LIMITERS, NEW as u32));
+/// Replaces a limiter by a new process that installs a stale configured list and that discovery does not
+/// answer.
+fn restart_during_outage(network: &mut TestNetwork, servers: u32) {
+    let settings = settings_among(LIMITERS, RESTARTED as u32);
+    network.limiters[RESTARTED] = TestLimiter::without_endpoints(network.now, settings);
     let endpoints: Arc<[Endpoint]> = (0..servers).map(endpoint).collect();
-    network.handle(NEW, Event::EndpointsConfigured { endpoints });
+    network.handle(RESTARTED, Event::EndpointsConfigured { endpoints });
     network.advance(TIME_TO_READINESS_MS);
 }
 
-/// To which servers the new limiter forwards requests of its clients.
+/// Returns the servers to which the restarted limiter forwards 60 requests, in the order of their ids.
 fn servers_used(network: &mut TestNetwork) -> Vec<ServerId> {
     let mut servers = Vec::new();
     for id in 0..60 {
-        for done in network.submit(NEW, Request { member_count: 1, ..request(id, IDEMPOTENT, UNLIMITED) }) {
-            if let Action::Forward { server, .. } = done.action {
+        let request = Request { member_count: 1, ..request(id, IDEMPOTENT, UNLIMITED) };
+        for LimiterAction { action, .. } in network.submit(RESTARTED, request) {
+            if let Action::Forward { server, .. } = action {
                 servers.push(server);
-                network.respond(NEW, id, 20.0);
+                network.respond(RESTARTED, id, 20.0);
             }
         }
         network.advance(20.0);
@@ -57,43 +64,43 @@
     servers
 }
 
-/// What the agent of a limiter was told before an outage counts as announced to a process that starts within it; only
-/// its peers can tell it.
+/// What the agent of any limiter was notified of before an outage counts as announced to a process that
+/// starts during the outage. Only the peers of that process can report it.
 #[test]
 fn a_limiter_that_starts_in_an_outage_learns_of_departed_servers_from_its_peers() {
     for changes in [vec![draining(0)], vec![draining(0), draining(1), draining(2)]] {
         let num_drained = changes.len() as u32;
-        let mut network = fleet_notified_of(FEW, changes);
-        start_in_outage(&mut network, FEW);
+        let mut network = network_notified_of(FEW, changes);
+        restart_during_outage(&mut network, FEW);
         let expected: Vec<ServerId> = (num_drained..FEW).map(server).collect();
         assert_eq!(servers_used(&mut network), expected);
     }
 }
 
-/// A server that has drained and takes requests again has not departed.
+/// Server 0 has drained and takes requests again: the announcement removes its tombstone.
 #[test]
 fn a_server_that_is_back_is_no_longer_reported_as_departed() {
-    let mut network = fleet_notified_of(FEW, vec![draining(0), draining(1)]);
-    notify(&mut network, vec![endpoint(0)]);
-    start_in_outage(&mut network, FEW);
+    let mut network = network_notified_of(FEW, vec![draining(0), draining(1)]);
+    notify_all(&mut network, vec![endpoint(0)]);
+    restart_during_outage(&mut network, FEW);
     assert_eq!(servers_used(&mut network), [server(0), server(2), server(3)]);
 }
 
-/// Outages last: what was announced a minute before the start is still known.
+/// Outages last: a change that was announced a minute before the start of the process is still reported.
 #[test]
-fn departures_are_remembered_through_a_long_outage() {
-    let mut network = fleet_notified_of(FEW, vec![draining(0)]);
+fn tombstones_are_remembered_through_a_long_outage() {
+    let mut network = network_notified_of(FEW, vec![draining(0)]);
     network.advance(60_000.0);
-    start_in_outage(&mut network, FEW);
+    restart_during_outage(&mut network, FEW);
     assert_eq!(servers_used(&mut network), [server(1), server(2), server(3)]);
 }
 
-/// Six in ten servers may be replaced at once.
+/// A release may replace six in ten servers at once. Their tombstones take several messages.
 #[test]
-fn all_departures_of_a_large_release_are_learned() {
+fn all_tombstones_of_a_large_release_are_learned() {
     let num_drained = MANY * 6 / 10;
-    let mut network = fleet_notified_of(MANY, (0..num_drained).map(draining).collect());
-    start_in_outage(&mut network, MANY);
+    let mut network = network_notified_of(MANY, (0..num_drained).map(draining).collect());
+    restart_during_outage(&mut network, MANY);
     let departed: Vec<ServerId> = (0..num_drained).map(server).collect();
     let used = servers_used(&mut network);
     assert!(!used.is_empty());
