--- a/limiter/src/frontend/server.rs
+++ b/limiter/src/frontend/server.rs
@@ -7,9 +7,9 @@
 use super::acceptor::Acceptor;
 use super::connections::Connections;
 use super::shutdown::Shutdown;
-use crate::duration;
 use crate::engine::Engine;
 use crate::net::Listener;
+use crate::runtime::duration;
 
 /// How often the accept loop checks whether there is room again, or a step of the shutdown is due.
 const TICK_INTERVAL: Duration = Duration::from_millis(50);
@@ -41,7 +41,7 @@
         tokio::select! {
             accepted = acceptor.accept(), if has_room => acceptor.accepted(accepted).await,
             signal = &mut stop, if shutdown.is_none() => {
-                tracing::info!("{signal}: shutting down");
+                tracing::info!(%signal, "shutdown started");
                 shutdown = Some(Shutdown::begin(serve_after_signal));
                 engine.start_shutdown();
             }
--- a/limiter/src/main.rs
+++ b/limiter/src/main.rs
@@ -2,23 +2,17 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-mod arrival;
-mod attempt_job;
-mod body;
 mod config;
 mod discovery;
-mod duration;
 mod endpoints;
 mod engine;
 mod frontend;
 mod gossip;
-mod io_turns;
-mod logging;
-mod metrics;
+mod messages;
 mod net;
+mod observability;
 mod reload;
-mod request;
-mod signals;
+mod runtime;
 mod upstream;
 
 use std::io;
@@ -34,7 +28,8 @@
 use engine::Engine;
 use gossip::GossipSender;
 use net::{through_shortage, DatagramSocket, Listener};
-use signals::{SignalError, Signals};
+use observability::logging;
+use runtime::signals::{SignalError, Signals};
 use upstream::Servers;
 
 /// Connections that may wait to be accepted, as far as the system allows. Beyond it the first packets of a connection
@@ -87,20 +82,20 @@
     let gossip = GossipSender::new(gossip_socket.clone(), config.peers.clone());
     let engine = Engine::new(config, Box::new(servers.clone()), Box::new(gossip))?;
     let address = listener.local_address().map_err(StartError::LocalAddress)?;
-    tracing::info!("serves on {address}");
+    tracing::info!(%address, "listening");
     if let Some(socket) = gossip_socket {
         tokio::task::spawn_local(gossip::receive(engine.clone(), socket));
     }
     tokio::task::spawn_local(engine.clone().run_timers());
     tokio::task::spawn_local(upstream::close_expired_connections(servers));
     tokio::task::spawn_local(discovery::run(engine.clone(), watch_target.clone()));
-    tokio::task::spawn_local(engine.clone().use_configured_list_after_patience());
+    tokio::task::spawn_local(engine.clone().fall_back_to_configured_endpoints());
     tokio::task::spawn_local(reload::reload_on_hangup(signals.clone(), watch_target));
     tokio::task::spawn_local(report_on_request(signals.clone(), engine.clone()));
     let passed_on = signals.clone();
     tokio::task::spawn_local(async move { passed_on.run().await });
     frontend::serve(&engine, listener, signals.stop_requested()).await;
-    engine.report_end();
+    engine.finish_shutdown();
     Ok(())
 }
 
@@ -108,7 +103,7 @@
 async fn report_on_request(signals: Rc<Signals>, engine: Rc<Engine>) {
     loop {
         signals.report_requested().await;
-        engine.report_metrics();
+        engine.log_counters();
     }
 }
 
--- a/limiter/src/upstream/attempt.rs
+++ b/limiter/src/upstream/attempt.rs
@@ -12,10 +12,10 @@
 
 use super::connection::{ConnectError, RequestSender};
 use super::Servers;
-use crate::attempt_job::{AttemptJob, AttemptResult};
-use crate::body::{read_body, BodyError};
 use crate::engine::Engine;
-use crate::request::{CORRELATION_ID, IDEMPOTENCY_KEY, TIME_LEFT};
+use crate::messages::attempt::{AttemptJob, AttemptResult};
+use crate::messages::body::{read_body, BodyError};
+use crate::messages::request::{CORRELATION_ID, IDEMPOTENCY_KEY, TIME_LEFT};
 
 /// Says with a failure that the server did not process the request.
 const UNPROCESSED: HeaderName = HeaderName::from_static("x-unprocessed");
@@ -113,7 +113,7 @@
     let facts = SendFacts {
         is_client_waiting: engine.is_client_waiting(job.id.request),
         is_serving: engine.serving_address(&job.server) == Some(address),
-        begin_within_ms: job.begin_by - now,
+        begin_within_ms: job.latest_start - now,
         deadline_in_ms: job.deadline - now,
     };
     rules::may_send(&facts).map_err(AttemptError::Refused)
