--- a/limiter-core/src/endpoints/outlier.rs
+++ b/limiter-core/src/endpoints/outlier.rs
@@ -65,8 +65,8 @@
         }
     }
 
-    /// Returns the latency to expect of the server: the more responses it has given recently, the more its
-    /// own latency counts against the baseline latency of all servers.
+    /// Returns the latency to expect of the server: the more responses the server has given recently, the
+    /// more the latency of this server counts against the baseline latency of all servers.
     pub(super) fn usual_latency_ms(&self, now: Millis, baseline_ms: Millis) -> Millis {
         let responses = if self.latency.is_measured() { self.responses.value(now) } else { 0.0 };
         (self.latency.value_ms() * responses + baseline_ms * BASELINE_RESPONSES)
--- a/limiter-core/src/endpoints/routing.rs
+++ b/limiter-core/src/endpoints/routing.rs
@@ -1,9 +1,9 @@
 //! Routing: which server gets an attempt.
 //!
-//! Each limiter uses a subset of the servers: it walks the ring of ids from its own starting point until it
-//! has found enough servers that may have the request. Among these the one with the least predicted latency
-//! is picked. Servers in slow start whose warming set the limiter belongs to are candidates wherever they
-//! stand in the ring.
+//! Each limiter uses a subset of the servers: it walks the ring of ids from a starting point that follows
+//! from its position until it has found enough servers that may have the request. Among these the one with
+//! the least predicted latency is picked. Servers in slow start whose warming set the limiter belongs to are
+//! candidates wherever they stand in the ring.
 
 use super::record::EndpointRecord;
 use super::registry::Endpoints;
--- a/limiter-core/src/endpoints/slow_start_index.rs
+++ b/limiter-core/src/endpoints/slow_start_index.rs
@@ -1,4 +1,4 @@
-//! The servers in slow start, indexed so that a limiter looks at those outside its own warming sets only when
+//! The servers in slow start, indexed so that a limiter looks at servers of other warming sets only when
 //! one of their slow starts may have ended.
 
 use std::collections::BTreeSet;
--- a/limiter-core/src/endpoints/start_times.rs
+++ b/limiter-core/src/endpoints/start_times.rs
@@ -2,7 +2,7 @@
 //!
 //! The clock of the announced start times and the wall clock of this host may differ by hours, because wall
 //! clocks are stepped. Only ages of hours are therefore derived from a comparison of the two. Everything else
-//! is derived from the limiter's own clock, which only goes forward, and from differences between announced
+//! is derived from the clock of the events, which only goes forward, and from differences between announced
 //! start times.
 //!
 //! Every estimate is at most the true age, so that slow start never assumes more capacity than a server has.
--- a/limiter-core/src/gossip/messages.rs
+++ b/limiter-core/src/gossip/messages.rs
@@ -21,7 +21,7 @@
     pub units: f32,
     /// Units that the member has shed since the owner's last reply.
     pub unreported_units: f32,
-    /// The member has spent the units from its local share and reports them; it expects no grant.
+    /// The member has spent the units from its local share: the request reports them and asks for no grant.
     pub already_spent: bool,
 }
 
--- a/limiter-core/src/gossip/receive.rs
+++ b/limiter-core/src/gossip/receive.rs
@@ -1,6 +1,6 @@
 //! Gossip that arrives: what is done with each line of a message.
 
-use super::messages::{GossipLine, GossipMessage};
+use super::messages::{GossipLine, GossipMessage, QuotaRequest};
 use crate::event::Action;
 use crate::limiter::Limiter;
 use crate::quota::GrantKey;
@@ -28,16 +28,8 @@
     fn on_gossip_line(&mut self, from: u32, incarnation: u32, line: GossipLine, out: &mut Vec<Action>) {
         match line {
             GossipLine::QuotaRequest(request) => {
-                // Messages that arrived during a stall are handled right after it. Their senders no longer
-                // wait, so that a reply would only waste units.
-                let has_just_resumed = self.resumed_at >= self.context.now;
-                if has_just_resumed {
-                    return;
-                }
                 let key = GrantKey { member: from, incarnation, request: request.id };
-                if let Some(reply) = self.owned_quotas.decide(&self.context, key, &request) {
-                    self.send_gossip(from, GossipLine::GrantReply(reply), out);
-                }
+                self.on_quota_request(key, &request, out);
             }
             GossipLine::GrantReply(reply) => {
                 // A reply to an earlier incarnation may carry the id of a request of this one.
@@ -57,4 +49,19 @@
             }
         }
     }
+
+    /// Decides on a member's quota request and replies. A request for a quota that this limiter does not own,
+    /// or with an unknown plan, is ignored.
+    ///
+    /// Messages that arrived during a stall are handled right after the stall and are ignored: the members no
+    /// longer wait for the replies, which would only waste units.
+    fn on_quota_request(&mut self, key: GrantKey, request: &QuotaRequest, out: &mut Vec<Action>) {
+        let has_just_resumed = self.resumed_at >= self.context.now;
+        if has_just_resumed {
+            return;
+        }
+        if let Some(reply) = self.owned_quotas.decide(&self.context, key, request) {
+            self.send_gossip(key.member, GossipLine::GrantReply(reply), out);
+        }
+    }
 }
