--- a/test.sh
+++ b/test.sh
@@ -15,6 +15,8 @@
     limiter-core/src/lib.rs
     limiter-core/src/context.rs
     limiter-core/src/decay.rs
+    limiter-core/src/endpoints/ejection_log.rs
+    limiter-core/src/endpoints/latency.rs
     limiter-core/src/endpoints/mod.rs
     limiter-core/src/event/action.rs
     limiter-core/src/event/endpoint.rs
@@ -22,6 +24,7 @@
     limiter-core/src/event/request.rs
     limiter-core/src/event/timer.rs
     limiter-core/src/gossip/codec.rs
+    limiter-core/src/gossip/messages.rs
     limiter-core/src/gossip/mod.rs
     limiter-core/src/hashing.rs
     limiter-core/src/limiter.rs
