--- a/test.sh
+++ b/test.sh
@@ -15,15 +15,28 @@
     limiter-core/src/lib.rs
     limiter-core/src/context.rs
     limiter-core/src/decay.rs
+    limiter-core/src/endpoints/ejection_log.rs
+    limiter-core/src/endpoints/latency.rs
     limiter-core/src/endpoints/mod.rs
-    limiter-core/src/event.rs
+    limiter-core/src/event/action.rs
+    limiter-core/src/event/endpoint.rs
+    limiter-core/src/event/mod.rs
+    limiter-core/src/event/request.rs
+    limiter-core/src/event/timer.rs
     limiter-core/src/gossip/codec.rs
+    limiter-core/src/gossip/messages.rs
     limiter-core/src/gossip/mod.rs
     limiter-core/src/hashing.rs
     limiter-core/src/limiter.rs
     limiter-core/src/quota/mod.rs
     limiter-core/src/quota/records.rs
-    limiter-core/src/settings.rs
+    limiter-core/src/request/mod.rs
+    limiter-core/src/request/table.rs
+    limiter-core/src/rules/mod.rs
+    limiter-core/src/settings/mod.rs
+    limiter-core/src/settings/plan.rs
+    limiter-core/src/settings/request_class.rs
+    limiter-core/src/settings/validation.rs
     limiter-core/src/token_bucket.rs
 )
 # What deploy/balancer.toml names as policy.
