--- a/limiter/src/observability/tests.rs
+++ b/limiter/src/observability/tests.rs
@@ -16,8 +16,8 @@
     ServerConnectionOutcome, WatchEndReason,
 };
 use super::metrics::Metrics;
-use operations_page::OperationsPage;
-use source_events::{read_sources, LoggedEvent};
+use operations_page::{OperationsPage, PlaceInCode};
+use source_events::{declares, read_sources, LoggedEvent};
 
 /// Returns the root of the repository.
 fn repository() -> PathBuf {
@@ -77,8 +77,9 @@
 
 #[test]
 fn the_operations_page_has_every_log_event() {
+    let sources = repository().join("limiter/src");
     let events: BTreeSet<LoggedEvent> =
-        read_sources().iter().flat_map(|source| source_events::events_in(source)).collect();
+        read_sources(&sources).iter().flat_map(|source| source_events::events_in(source)).collect();
     assert!(events.len() > 20, "the sources are searched for events");
     assert_same("events", &events, &OperationsPage::read().events());
 }
@@ -87,3 +88,14 @@
 fn the_operations_page_has_every_counter_and_label_value() {
     assert_same("counters", &counter_names(), &OperationsPage::read().counters());
 }
+
+#[test]
+fn the_places_on_the_operations_page_exist() {
+    let places = OperationsPage::read().places();
+    assert!(places.len() > 20, "the page is searched for places");
+    for PlaceInCode { path, item } in places {
+        let sources = read_sources(&repository().join(&path));
+        let is_declared = sources.iter().any(|source| declares(source, &item));
+        assert!(is_declared, "docs/operations.md names {path}::{item}, which is not declared there");
+    }
+}
--- a/limiter/src/observability/tests/operations_page.rs
+++ b/limiter/src/observability/tests/operations_page.rs
@@ -9,6 +9,13 @@
 const DEBUG_EVENTS_HEADING: &str = "### Log events at debug";
 const COUNTERS_HEADING: &str = "## Counters";
 
+/// A function, constant or type in a file or folder, as `path::item`.
+pub struct PlaceInCode {
+    /// Path from the root of the repository.
+    pub path: String,
+    pub item: String,
+}
+
 /// The text of the page.
 pub struct OperationsPage {
     text: String,
@@ -40,6 +47,14 @@
         self.rows(COUNTERS_HEADING).iter().map(|row| only_code(&row[0])).collect()
     }
 
+    /// Returns the places in the code that the page names.
+    pub fn places(&self) -> Vec<PlaceInCode> {
+        let spans = self.text.split('`').skip(1).step_by(2);
+        let places =
+            spans.filter_map(|span| span.split_once("::")).filter(|(path, _)| path.contains("/src/"));
+        places.map(|(path, item)| PlaceInCode { path: path.to_string(), item: item.to_string() }).collect()
+    }
+
     /// Returns the cells of each row of the table below a heading, without the two lines of the table's head.
     fn rows(&self, heading: &str) -> Vec<Vec<String>> {
         let lines = self.text.lines().skip_while(|line| *line != heading).skip(1);
--- a/limiter/src/observability/tests/source_events.rs
+++ b/limiter/src/observability/tests/source_events.rs
@@ -14,13 +14,30 @@
     pub fields: BTreeSet<String>,
 }
 
-/// Returns the text of each source file of the program, except for tests.
-pub fn read_sources() -> Vec<String> {
+/// Returns the text of a source file, or of each source file in a folder except for tests.
+pub fn read_sources(path: &Path) -> Vec<String> {
     let mut sources = Vec::new();
-    read_folder(&Path::new(env!("CARGO_MANIFEST_DIR")).join("src"), &mut sources);
+    if path.is_dir() {
+        read_folder(path, &mut sources);
+    } else {
+        sources.push(
+            std::fs::read_to_string(path).unwrap_or_else(|error| panic!("{}: {error}", path.display())),
+        );
+    }
     sources
 }
 
+/// Returns whether a source declares a function, constant or type of this name.
+pub fn declares(source: &str, name: &str) -> bool {
+    ["fn", "const", "struct"].into_iter().any(|keyword| {
+        let declaration = format!("{keyword} {name}");
+        source.match_indices(&declaration).any(|(start, _)| {
+            let next = source[start + declaration.len()..].chars().next();
+            next.is_none_or(|c| !c.is_alphanumeric() && c != '_')
+        })
+    })
+}
+
 fn read_folder(folder: &Path, sources: &mut Vec<String>) {
     for entry in std::fs::read_dir(folder).expect("a folder") {
         let path = entry.expect("an entry").path();
