--- a/limiter/src/observability/labels.rs
+++ b/limiter/src/observability/labels.rs
@@ -7,15 +7,15 @@
 use limiter_core::{EjectionReason, EndpointState, Outcome};
 use prometheus_client::encoding::{EncodeLabel, EncodeLabelSet, LabelSetEncoder};
 
-/// Declares an enum whose variants are the values of a counter's only label, with the key of that label and a
-/// name in snake case for each value. Log fields have the same names.
+/// Declares an enum whose variants are the values of a counter's only label. The key of the label is in
+/// brackets after the name of the enum, and each value has a name in snake case, which log fields use as
+/// well.
 ///
 /// The names are written out, so that renaming a variant does not change what operators search for.
 macro_rules! label {
     (
-        $key:ident:
         $(#[$enum_doc:meta])*
-        pub enum $name:ident { $($(#[$variant_doc:meta])* $variant:ident => $text:literal,)+ }
+        pub enum $name:ident($key:literal) { $($(#[$variant_doc:meta])* $variant:ident => $text:literal,)+ }
     ) => {
         $(#[$enum_doc])*
         #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
@@ -40,16 +40,15 @@
 
         impl EncodeLabelSet for $name {
             fn encode(&self, encoder: &mut LabelSetEncoder<'_>) -> fmt::Result {
-                (stringify!($key), self.as_str()).encode(encoder.encode_label())
+                ($key, self.as_str()).encode(encoder.encode_label())
             }
         }
     };
 }
 
 label! {
-    outcome:
     /// How a submitted request ended.
-    pub enum ResponseOutcome {
+    pub enum ResponseOutcome("outcome") {
         /// A server's good response was returned to the client.
         Served => "served",
         /// The client was sent a rejection: it may safely send the request again.
@@ -65,12 +64,11 @@
 }
 
 label! {
-    reason:
     /// Why a request was rejected before it was submitted, by the status of the response.
-    pub enum InvalidRequestReason {
+    pub enum InvalidRequestReason("reason") {
         /// 400: the head or the body is malformed, or a header is missing or invalid.
         BadRequest => "bad_request",
-        /// 404: the path names no class of requests.
+        /// 404: the path is not `/class/customer`.
         NotFound => "not_found",
         /// 405: the class does not use this method.
         MethodNotAllowed => "method_not_allowed",
@@ -104,9 +102,8 @@
 }
 
 label! {
-    outcome:
     /// How an attempt at a server ended.
-    pub enum AttemptOutcome {
+    pub enum AttemptOutcome("outcome") {
         /// The server returned a good response.
         Served => "served",
         /// The server returned an error: the request may have run.
@@ -142,9 +139,8 @@
 }
 
 label! {
-    outcome:
     /// How an attempt got its connection to a server, or why it got none.
-    pub enum ServerConnectionOutcome {
+    pub enum ServerConnectionOutcome("outcome") {
         /// An idle connection was taken from the pool.
         Reused => "reused",
         /// A new connection was established.
@@ -163,9 +159,8 @@
 }
 
 label! {
-    reason:
     /// Why a client connection was closed.
-    pub enum ClientCloseReason {
+    pub enum ClientCloseReason("reason") {
         /// Every request was answered, and one side ended the connection.
         Finished => "finished",
         /// The client broke the connection, or sent what is not HTTP.
@@ -178,9 +173,8 @@
 }
 
 label! {
-    reason:
     /// Why a watch on the endpoint list ended.
-    pub enum WatchEndReason {
+    pub enum WatchEndReason("reason") {
         /// Discovery did not respond to the request, or the watch fell silent.
         Silent => "silent",
         /// The request for the watch failed.
@@ -197,9 +191,8 @@
 }
 
 label! {
-    reason:
     /// What must hold at every moment.
-    pub enum Invariant {
+    pub enum Invariant("reason") {
         /// Each submitted request gets exactly one final response.
         OneFinalResponse => "one_final_response",
         /// A request has at most one attempt in flight.
