--- a/limiter/src/frontend/acceptor.rs
+++ b/limiter/src/frontend/acceptor.rs
@@ -1,4 +1,4 @@
-//! Accepts client connections, and empties the accept queue at the end.
+//! Accepts client connections, and drains the accept queue at the end.
 
 use std::cell::Cell;
 use std::future::{pending, poll_fn};
@@ -13,48 +13,58 @@
 use crate::engine::Engine;
 use crate::net::{Listener, Stream};
 
-/// Pause after an accept that failed for want of something on this host.
+/// Pause after an accept that failed because this host's resources are exhausted.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
-/// How often in a row such a failure is borne at the shutdown before the queue is given up: for a second.
+/// Largest number of such failures while the accept queue is drained at the shutdown; the queue is abandoned
+/// after the next one. With [`ACCEPT_RETRY_DELAY`] the failures take one second.
 const MAX_SHUTDOWN_RETRIES: u32 = 100;
-/// Longest time for which a connection is taken to have waited in the accept queue. While more and more come, the queue
-/// is never seen empty, and for how long the last one has waited is not known.
+/// Longest time that a connection is assumed to have waited in the accept queue. While more and more
+/// connections arrive, the queue is never seen empty, and the real wait of the newest connection is unknown.
 const MAX_QUEUE_WAIT: Duration = Duration::from_secs(1);
 
-/// The listener, until it is closed, and what is needed to serve those it accepts.
+/// The listener, until it is closed, and what is needed to serve the connections that it accepts.
 pub(super) struct Acceptor {
     engine: Rc<Engine>,
     connections: Rc<Connections>,
+    /// `None` once it is closed.
     listener: Option<Listener>,
-    /// The last accept failed; further failures in a row are not logged.
+    /// The last accept failed. Further failures in a row are not logged.
     is_failing: bool,
-    /// Since when connections may have had to wait in the accept queue, until that is seen empty.
+    /// Since when connections may have had to wait in the accept queue, until the queue is seen empty.
     queued_since: Cell<Option<Instant>>,
 }
 
 impl Acceptor {
-    /// An acceptor that enters what it accepts into the table of connections.
+    /// Creates an acceptor that adds the connections which it accepts to a table.
     pub(super) fn new(engine: Rc<Engine>, connections: Rc<Connections>, listener: Listener) -> Acceptor {
-        let (listener, queued_since) = (Some(listener), Cell::new(None));
-        Acceptor { engine, connections, listener, is_failing: false, queued_since }
+        Acceptor {
+            engine,
+            connections,
+            listener: Some(listener),
+            is_failing: false,
+            queued_since: Cell::new(None),
+        }
     }
 
-    /// Whether one more connection may be open.
-    pub(super) fn has_room(&self) -> bool {
-        let has_room = self.connections.len() < self.engine.config().max_client_connections;
-        if !has_room {
-            self.begin_queueing();
-        }
-        has_room
+    /// Returns whether another connection may be opened.
+    pub(super) fn has_capacity(&self) -> bool {
+        self.connections.len() < self.engine.config().max_client_connections
     }
 
-    /// From now on connections may have to wait.
-    fn begin_queueing(&self) {
-        self.queued_since.set(self.queued_since.get().or_else(|| Some(Instant::now())));
+    /// Evicts a connection to make room for another one, and records that connections may have to wait in the
+    /// accept queue from now on.
+    pub(super) fn make_room(&self) {
+        if self.queued_since.get().is_none() {
+            self.queued_since.set(Some(Instant::now()));
+        }
+        self.connections.evict_one();
     }
 
-    /// The next connection; pending forever once the listener is closed. Awaited by the accept loop; cancelling
-    /// loses no connection.
+    /// Accepts the next connection; pending forever once the listener is closed. Awaited by the accept loop.
+    /// Cancelling loses no connection: it stays in the accept queue.
+    ///
+    /// # Errors
+    /// The reason why this host cannot accept the connection, which stays in the accept queue.
     pub(super) async fn accept(&self) -> io::Result<Stream> {
         let Some(listener) = &self.listener else { return pending().await };
         poll_fn(|cx| {
@@ -67,9 +77,10 @@
         .await
     }
 
-    /// Serves what was accepted. After a failure for want of something on this host an idle connection makes way, and
-    /// what waits to be accepted is taken a little later: the accept loop rests meanwhile.
-    pub(super) async fn accepted(&mut self, accepted: io::Result<Stream>) {
+    /// Serves a connection that was accepted, or waits after an accept that failed because this host's
+    /// resources are exhausted. The accept loop awaits this to the end, and accepts no connection during the
+    /// wait.
+    pub(super) async fn handle_accepted(&mut self, accepted: io::Result<Stream>) {
         match accepted {
             Ok(stream) => {
                 self.is_failing = false;
@@ -79,23 +90,25 @@
         }
     }
 
+    /// Serves a connection in a task of its own.
     fn serve(&self, stream: Stream) {
         let earliest = Instant::now() - MAX_QUEUE_WAIT;
         let queued_since = self.queued_since.get().map(|since| since.max(earliest));
         connection::spawn(&self.engine, &self.connections, stream, queued_since);
     }
 
+    /// Evicts a connection, whose resources the next accept may use, and waits for [`ACCEPT_RETRY_DELAY`].
+    /// Cancelling only shortens the wait.
     async fn wait_for_resources(&mut self, error: &io::Error) {
         if !std::mem::replace(&mut self.is_failing, true) {
             tracing::warn!("accept failed: {error}");
         }
-        self.begin_queueing();
-        self.connections.evict_one();
+        self.make_room();
         tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
     }
 
-    /// Serves what waits in the accept queue, perhaps with a request, and closes the listener. To be awaited to its
-    /// end: cancelling closes the listener on those that still wait.
+    /// Serves the connections that wait in the accept queue, perhaps with a request, and closes the listener.
+    /// Must be awaited to the end: cancelling closes the listener and resets the connections that still wait.
     pub(super) async fn close(&mut self) {
         let Some(listener) = self.listener.take() else { return };
         let mut retries = 0;
--- a/limiter/src/frontend/connection.rs
+++ b/limiter/src/frontend/connection.rs
@@ -1,28 +1,29 @@
-//! One client connection: the task that drives hyper on it.
+//! The task of one client connection, which drives hyper.
 
 use std::cell::RefCell;
 use std::convert::Infallible;
 use std::future::poll_fn;
 use std::rc::Rc;
 
+use hyper::body::Incoming;
 use hyper::server::conn::http1;
-use hyper::service::service_fn;
+use hyper::service::{service_fn, Service};
+use hyper::Request;
 use hyper_util::rt::TokioIo;
 use tokio::time::Instant;
 
 use super::connection_state::ConnectionState;
-use super::connections::Connections;
+use super::connections::{Connections, OpenConnection};
+use super::limits::MAX_HEAD_BYTES;
 use super::read_ahead::{ClientSocket, ReadAhead, ReadAheadStream};
-use super::request_handler;
+use super::request::RequestHandler;
+use super::response::ClientResponse;
 use crate::engine::Engine;
 use crate::net::Stream;
 use crate::observability::metrics::Metrics;
 
-/// Longest head of a request.
-pub(super) const MAX_HEAD_BYTES: usize = 16 << 10;
-
-/// Adds a connection to the table and serves it in a task of its own. `queued_since` says since when it may have waited to
-/// be accepted; none if it has not.
+/// Adds a connection to the table and serves it in a task of its own. `queued_since` is the earliest time at
+/// which the connection may have entered the accept queue, if it may have waited there.
 pub(super) fn spawn(
     engine: &Rc<Engine>,
     connections: &Rc<Connections>,
@@ -30,97 +31,151 @@
     queued_since: Option<Instant>,
 ) {
     stream.set_nodelay();
-    let (id, state) = connections.add();
     engine.metrics().client_connections.inc();
-    let (engine, connections) = (engine.clone(), connections.clone());
+    let memory = connections.share_read_ahead_memory();
+    let read_ahead = ReadAhead::new(stream, memory, engine.arrival_clock().clone(), queued_since);
+    let task = ConnectionTask {
+        engine: engine.clone(),
+        connections: connections.clone(),
+        connection: connections.add(),
+    };
     tokio::task::spawn_local(async move {
-        let memory = connections.read_ahead_memory().share();
-        let read_ahead = ReadAhead::new(stream, memory, engine.arrival_clock().clone(), queued_since);
-        let reason = serve(&engine, &connections, &state, read_ahead).await;
-        record_close(&engine, id, &state, reason);
-        connections.remove(id);
+        let reason = task.serve(read_ahead).await;
+        task.record_close(reason);
     });
 }
 
 /// Why a connection was closed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum CloseReason {
-    /// All is answered, and one side wanted no more.
+    /// All requests were answered, and one of both sides wanted no more of them.
     Finished,
-    /// The client broke the connection, or sent what is not HTTP.
+    /// The client broke the connection, or sent bytes that are not HTTP.
     ClientError,
-    /// The client has closed it while its request was open.
-    ClientLeft,
-    /// It was overdue, or made way for another.
+    /// The client closed the connection while its request was open.
+    ClientDisconnected,
+    /// The connection was overdue, or was evicted to make room for another one.
     Aborted,
 }
 
 impl CloseReason {
-    /// The kind under which it is counted.
+    /// Returns the label under which the reason is counted.
     fn kind(self) -> &'static str {
         match self {
             CloseReason::Finished => "finished",
             CloseReason::ClientError => "client error",
-            CloseReason::ClientLeft => "client left",
+            CloseReason::ClientDisconnected => "client left",
             CloseReason::Aborted => "aborted",
         }
     }
-}
 
-/// Counts and logs the end of a connection. Only its client may end it while a response is owed.
-fn record_close(engine: &Engine, id: u64, state: &ConnectionState, reason: CloseReason) {
-    let metrics = engine.metrics();
-    Metrics::count(&metrics.client_connections_closed, reason.kind());
-    let open_requests = state.facts(false).open_requests;
-    tracing::debug!(connection = id, reason = reason.kind(), open_requests, "client connection closed");
-    let is_by_limiter = matches!(reason, CloseReason::Finished | CloseReason::Aborted);
-    if is_by_limiter && !state.facts(false).may_close() {
-        let detail = format_args!("connection {id} closed with {open_requests} requests open: {reason:?}");
-        metrics.violation("no close with a request open", &detail);
+    /// Returns whether the limiter, rather than the client, decided to close the connection.
+    fn is_by_limiter(self) -> bool {
+        matches!(self, CloseReason::Finished | CloseReason::Aborted)
     }
 }
 
-/// Serves until the connection ends, from either side.
-///
-/// Awaited by the connection's task alone. Its return drops hyper's connection, and with it the handler of an open
-/// request: the engine then takes the client for disconnected. The order of the branches matters: hyper goes first,
-/// so that what has arrived is read before anything closes the connection.
-async fn serve(
-    engine: &Rc<Engine>,
-    connections: &Rc<Connections>,
-    state: &Rc<ConnectionState>,
-    read_ahead: ReadAhead,
-) -> CloseReason {
-    let read_ahead = Rc::new(RefCell::new(read_ahead));
-    let service = service_fn(|request| {
-        let (engine, connections, state) = (engine.clone(), connections.clone(), state.clone());
+/// A connection as hyper serves it.
+type HttpConnection<S> = http1::Connection<TokioIo<ReadAheadStream>, S>;
+
+/// The task of one connection. Dropping it removes the connection from the table.
+struct ConnectionTask {
+    engine: Rc<Engine>,
+    connections: Rc<Connections>,
+    connection: OpenConnection,
+}
+
+impl ConnectionTask {
+    /// Serves the connection until either side ends it.
+    ///
+    /// Awaited by the connection's task alone. When the future returns or is cancelled, it drops hyper's
+    /// connection, and with that the handler of an open request: the engine then treats the client as
+    /// disconnected.
+    async fn serve(&self, read_ahead: ReadAhead) -> CloseReason {
+        let state = self.connection.state();
+        let read_ahead = Rc::new(RefCell::new(read_ahead));
         let client = Rc::new(ClientSocket::new(read_ahead.clone(), state.clone()));
-        async move {
-            let response = request_handler::handle(&engine, &connections, &state, client, request).await;
-            Ok::<_, Infallible>(response)
-        }
-    });
-    let stream = ReadAheadStream::new(read_ahead.clone(), state.clone());
-    let http = http1::Builder::new()
-        .max_buf_size(MAX_HEAD_BYTES)
-        .auto_date_header(false)
-        .serve_connection(TokioIo::new(stream), service);
-    tokio::pin!(http);
-    loop {
-        tokio::select! {
-            biased;
-            // An error here is the client's: it left, or sent what is not HTTP.
-            served = &mut http => return served.map_or(CloseReason::ClientError, |()| CloseReason::Finished),
-            // If a request has arrived meanwhile, the connection stays.
-            () = state.abort_requested() => if state.facts(connections.is_shutting_down()).may_close() { return CloseReason::Aborted },
-            () = poll_fn(|cx| read_ahead.borrow_mut().poll_disconnected(state, cx)) => return CloseReason::ClientLeft,
-            () = state.shutdown_requested() => {
-                // Else it ends with its last response, or is looked at again once one is written.
-                let is_idle = state.facts(true).is_idle() && !read_ahead.borrow().has_bytes();
-                if is_idle || !state.has_received_bytes() {
-                    http.as_mut().graceful_shutdown();
+        let handler =
+            RequestHandler::new(self.engine.clone(), self.connections.clone(), state.clone(), client);
+        let stream = ReadAheadStream::new(read_ahead.clone(), state.clone());
+        let http = http1::Builder::new()
+            .max_buf_size(MAX_HEAD_BYTES)
+            .auto_date_header(false)
+            .serve_connection(TokioIo::new(stream), service(handler));
+        self.drive(http, &read_ahead).await
+    }
+
+    /// Polls hyper, and closes the connection when another side asks for it.
+    ///
+    /// The order of the branches matters. hyper is polled first, so that bytes which have arrived are read
+    /// before another branch closes the connection.
+    async fn drive(
+        &self,
+        http: HttpConnection<impl RequestService>,
+        read_ahead: &RefCell<ReadAhead>,
+    ) -> CloseReason {
+        let state = self.connection.state();
+        tokio::pin!(http);
+        loop {
+            tokio::select! {
+                biased;
+                result = &mut http => return match result {
+                    Ok(()) => CloseReason::Finished,
+                    Err(_) => CloseReason::ClientError,
+                },
+                () = state.close_signals().abort_requested() => {
+                    // A request may have arrived since the abort was requested. The connection then stays
+                    // open.
+                    if state.facts(self.connections.is_shutting_down()).may_close() {
+                        return CloseReason::Aborted;
+                    }
+                }
+                () = poll_fn(|cx| read_ahead.borrow_mut().poll_disconnected(state, cx)) => {
+                    return CloseReason::ClientDisconnected;
+                }
+                () = state.close_signals().shutdown_requested() => {
+                    if may_shut_down_now(state, &read_ahead.borrow()) {
+                        http.as_mut().graceful_shutdown();
+                    }
                 }
             }
         }
     }
+
+    /// Counts and logs the end of the connection. While a response is outstanding, only the client may end
+    /// it.
+    fn record_close(&self, reason: CloseReason) {
+        let metrics = self.engine.metrics();
+        let id = self.connection.id();
+        let facts = self.connection.state().facts(false);
+        let open_requests = facts.open_requests;
+        Metrics::count(&metrics.client_connections_closed, reason.kind());
+        tracing::debug!(connection = id, reason = reason.kind(), open_requests, "client connection closed");
+        if reason.is_by_limiter() && !facts.may_close() {
+            let detail =
+                format_args!("connection {id} closed with {open_requests} requests open: {reason:?}");
+            metrics.violation("no close with a request open", &detail);
+        }
+    }
+}
+
+/// Returns whether hyper may end the connection between two requests: nothing of a request has arrived. Any
+/// other connection ends with its last response, or is examined again when a response has been written.
+fn may_shut_down_now(state: &ConnectionState, read_ahead: &ReadAhead) -> bool {
+    let is_idle = state.facts(true).is_idle() && !read_ahead.has_bytes();
+    is_idle || !state.has_received_bytes()
+}
+
+/// The service that hyper calls for each request.
+trait RequestService: Service<Request<Incoming>, Response = ClientResponse, Error = Infallible> {}
+
+impl<S: Service<Request<Incoming>, Response = ClientResponse, Error = Infallible>> RequestService for S {}
+
+/// Returns a service that passes each request to a handler.
+fn service(handler: RequestHandler) -> impl RequestService {
+    let handler = Rc::new(handler);
+    service_fn(move |request| {
+        let handler = handler.clone();
+        async move { Ok(handler.handle(request).await) }
+    })
 }
--- a/limiter/src/frontend/connection_state.rs
+++ b/limiter/src/frontend/connection_state.rs
@@ -1,220 +1,229 @@
-//! What is known of one client connection, shared by the task that serves it and the table of all connections.
+//! What is known of one client connection, shared by the task that serves it and the table of all
+//! connections.
 
 use std::cell::Cell;
 
 use limiter_core::rules::ClientConnectionFacts;
-use tokio::sync::futures::Notified;
-use tokio::sync::Notify;
 use tokio::time::Instant;
 
+use super::close_signals::CloseSignals;
 use crate::runtime::arrival::Arrival;
 use crate::runtime::duration;
 
 /// The state of one client connection.
 ///
-/// The flags are no phases of one sequence: hyper may start the next pipelined request while the response before it
-/// is still being written.
+/// The flags are not the phases of one sequence: hyper may start the next pipelined request while the
+/// response before it is still being written.
 pub(super) struct ConnectionState {
     /// Requests that are being received or answered, until their responses are written.
     open_requests: Cell<u32>,
-    /// The body of the open request is still to come.
-    is_receiving_body: Cell<bool>,
-    /// The open request waits for its response: hyper does not read the stream and would not see its end.
-    watches_disconnect: Cell<bool>,
-    /// Requests that hyper has been given to their end and whose responses are not ready.
+    /// Requests that hyper has read to their end and whose responses are not ready.
     unanswered_requests: Cell<u32>,
-    /// Responses that are there and not written completely.
+    /// Responses that are ready and not completely written.
     unwritten_responses: Cell<u32>,
-    /// Since when the first of them waits to be written.
+    /// Since when the first of the unwritten responses has been ready.
     unwritten_since: Cell<Option<Instant>>,
-    /// More came behind an open request than is kept.
-    read_ahead_overflowed: Cell<bool>,
-    /// When the connection was accepted, a response was ready, or a response had been written; the last of these.
-    last_active: Cell<Instant>,
-    /// When the request that has not arrived completely began. A new connection owes one from the start.
-    incomplete_since: Cell<Option<Instant>>,
-    /// Something has been read.
+    /// The body of the open request has not arrived completely.
+    is_receiving_body: Cell<bool>,
+    /// The open request awaits its response. hyper does not read the stream and would not see its end.
+    watches_disconnect: Cell<bool>,
+    /// The client sent more after an open request than may be buffered. The excess was dropped.
+    has_read_ahead_overflowed: Cell<bool>,
+    /// Bytes of the client have been read.
     has_received_bytes: Cell<bool>,
-    /// When the bytes that hyper was given last arrived. Where hyper has a complete request, it has not read on: they are
-    /// the last ones of that request, or came with them.
+    /// When the bytes arrived that hyper read last. hyper does not read on after a complete request: the
+    /// bytes are the last ones of that request, or arrived together with them.
     last_arrival: Cell<Arrival>,
-    /// The connection is to end as soon as nothing is owed on it.
-    is_shutting_down: Cell<bool>,
-    /// Nothing more is read.
+    /// When the connection was accepted, a response became ready, or a response was written; the latest of
+    /// these.
+    last_active: Cell<Instant>,
+    /// Since when a request has been arriving that is not complete. The first request of a connection counts
+    /// as arriving from the accept on.
+    incomplete_since: Cell<Option<Instant>>,
+    /// The response that is ready is the last one. Nothing more is read.
     has_last_response: Cell<bool>,
-    /// Tells the connection's task to shut down gracefully.
-    shutdown: Notify,
-    /// Tells the connection's task to close at once.
-    abort: Notify,
+    close_signals: CloseSignals,
+}
+
+/// The order in which connections are evicted: the lowest rank first.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) struct EvictionRank {
+    /// No request is arriving. Connections that have sent no request, or a part of one, are evicted before
+    /// others.
+    is_between_requests: bool,
+    /// Among connections of equal rank, the one that has been idle for longest is evicted first.
+    last_active: Instant,
 }
 
 impl ConnectionState {
-    /// The state of a connection accepted now.
+    /// Creates the state of a connection that has just been accepted.
     pub(super) fn new() -> ConnectionState {
         let now = Instant::now();
         ConnectionState {
             open_requests: Cell::new(0),
-            is_receiving_body: Cell::new(false),
-            watches_disconnect: Cell::new(false),
             unanswered_requests: Cell::new(0),
             unwritten_responses: Cell::new(0),
             unwritten_since: Cell::new(None),
-            read_ahead_overflowed: Cell::new(false),
-            last_active: Cell::new(now),
-            incomplete_since: Cell::new(Some(now)),
+            is_receiving_body: Cell::new(false),
+            watches_disconnect: Cell::new(false),
+            has_read_ahead_overflowed: Cell::new(false),
             has_received_bytes: Cell::new(false),
             last_arrival: Cell::new(Arrival::not_before(now.into_std())),
-            is_shutting_down: Cell::new(false),
+            last_active: Cell::new(now),
+            incomplete_since: Cell::new(Some(now)),
             has_last_response: Cell::new(false),
-            shutdown: Notify::new(),
-            abort: Notify::new(),
+            close_signals: CloseSignals::new(),
         }
     }
 
-    /// Whether anything has been read of this connection.
-    pub(super) fn has_received_bytes(&self) -> bool {
-        self.has_received_bytes.get()
+    /// Returns what the rules need to know of the connection at this moment.
+    pub(super) fn facts(&self, is_shutting_down: bool) -> ClientConnectionFacts {
+        let elapsed_ms = |since: Instant| duration::to_ms(since.elapsed());
+        ClientConnectionFacts {
+            open_requests: self.open_requests.get(),
+            unwritten_for_ms: self.unwritten_since.get().map(elapsed_ms),
+            incomplete_for_ms: self.incomplete_since.get().map(elapsed_ms),
+            idle_ms: elapsed_ms(self.last_active.get()),
+            is_shutting_down,
+        }
+    }
+
+    /// Returns the requests to the connection's task to close the connection.
+    pub(super) fn close_signals(&self) -> &CloseSignals {
+        &self.close_signals
+    }
+
+    /// Returns when the connection is evicted, compared with other connections.
+    pub(super) fn eviction_rank(&self) -> EvictionRank {
+        EvictionRank {
+            is_between_requests: self.incomplete_since.get().is_none(),
+            last_active: self.last_active.get(),
+        }
     }
+}
 
-    /// Bytes have arrived: the first of a request, unless they belong to a body.
-    pub(super) fn bytes_received(&self) {
+/// Receiving requests.
+impl ConnectionState {
+    /// Records that bytes have been read. A request begins with them, unless one has begun or they belong to
+    /// a body.
+    pub(super) fn record_bytes_received(&self) {
         self.has_received_bytes.set(true);
         if !self.is_receiving_body.get() && self.incomplete_since.get().is_none() {
             self.incomplete_since.set(Some(Instant::now()));
         }
     }
 
-    /// hyper has been given bytes that arrived then.
-    pub(super) fn bytes_handed_over(&self, arrival: Arrival) {
+    /// Returns whether any bytes of the client have been read.
+    pub(super) fn has_received_bytes(&self) -> bool {
+        self.has_received_bytes.get()
+    }
+
+    /// Records that hyper has read bytes, and when they arrived.
+    pub(super) fn record_bytes_read_by_hyper(&self, arrival: Arrival) {
         self.last_arrival.set(arrival);
     }
 
-    /// When the last byte arrived of a request that has just become complete.
+    /// Returns when the last byte of the request arrived that has just become complete.
     pub(super) fn last_arrival(&self) -> Arrival {
         self.last_arrival.get()
     }
 
-    /// hyper has parsed the head of a request.
-    pub(super) fn head_received(&self) {
+    /// Records that hyper has read a request to its end. hyper may read on before the handler of the request
+    /// begins.
+    pub(super) fn record_request_read_by_hyper(&self) {
+        self.unanswered_requests.set(self.unanswered_requests.get() + 1);
+    }
+
+    /// Records that hyper has parsed the head of a request.
+    pub(super) fn record_head_received(&self) {
         self.open_requests.set(self.open_requests.get() + 1);
         self.is_receiving_body.set(true);
     }
 
-    /// When the open request began. What arrives from here on, except for its body, belongs to the next one.
+    /// Returns when the open request began. Bytes that arrive from now on belong to the next request, except
+    /// for those of the body.
     pub(super) fn take_request_start(&self) -> Instant {
         self.incomplete_since.take().unwrap_or_else(Instant::now)
     }
 
-    /// The body of the open request has arrived, or is waited for no longer.
-    pub(super) fn body_received(&self) {
+    /// Records that the body of the open request has arrived, or is no longer awaited.
+    pub(super) fn record_body_end(&self) {
         self.is_receiving_body.set(false);
     }
 
-    /// Whether to look for a disconnect of the client at this moment.
-    pub(super) fn watches_disconnect(&self) -> bool {
-        self.watches_disconnect.get()
+    /// Records that the client sent more after an open request than may be buffered.
+    pub(super) fn record_read_ahead_overflow(&self) {
+        self.has_read_ahead_overflowed.set(true);
     }
 
-    /// Begins or ends to look for a disconnect of the client.
-    pub(super) fn watch_disconnect(&self, watch: bool) {
-        self.watches_disconnect.set(watch);
+    /// Returns whether the client sent more after an open request than may be buffered. The connection cannot
+    /// be used after the response.
+    pub(super) fn has_read_ahead_overflowed(&self) -> bool {
+        self.has_read_ahead_overflowed.get()
     }
+}
 
-    /// The response of the open request is ready to be written.
-    pub(super) fn response_ready(&self) {
-        self.is_receiving_body.set(false);
-        let now = Instant::now();
-        self.unanswered_requests.set(self.unanswered_requests.get().saturating_sub(1));
-        self.unwritten_responses.set(self.unwritten_responses.get() + 1);
-        self.unwritten_since.set(self.unwritten_since.get().or(Some(now)));
-        self.last_active.set(now);
+/// Responding.
+impl ConnectionState {
+    /// Returns whether hyper has read a request whose response is not ready.
+    pub(super) fn awaits_response(&self) -> bool {
+        self.unanswered_requests.get() > 0
     }
 
-    /// All that was to be written has been; whether a response was among it. A further request may be open: hyper may
-    /// have read it before.
-    pub(super) fn flushed(&self) -> bool {
-        let written = self.unwritten_responses.take();
-        if written > 0 {
-            self.open_requests.set(self.open_requests.get().saturating_sub(written));
-            self.unwritten_since.set(None);
-            self.last_active.set(Instant::now());
-            if self.is_shutting_down.get() {
-                self.shutdown.notify_one();
-            }
-        }
-        written > 0
+    /// Begins to watch for a disconnect of the client, until the returned guard is dropped.
+    pub(super) fn watch_for_disconnect(&self) -> DisconnectWatch<'_> {
+        self.watches_disconnect.set(true);
+        DisconnectWatch { state: self }
     }
 
-    /// hyper has been given a request to its end. It may read on before the request's handler begins.
-    pub(super) fn request_handed_over(&self) {
-        self.unanswered_requests.set(self.unanswered_requests.get() + 1);
+    /// Returns whether a disconnect of the client is watched for.
+    pub(super) fn watches_disconnect(&self) -> bool {
+        self.watches_disconnect.get()
     }
 
-    /// Whether hyper has been given a request whose response is not ready.
-    pub(super) fn awaits_response(&self) -> bool {
-        self.unanswered_requests.get() > 0
+    /// Records that the response to the open request is ready to be written.
+    pub(super) fn record_response_ready(&self) {
+        self.is_receiving_body.set(false);
+        let now = Instant::now();
+        self.unanswered_requests.set(self.unanswered_requests.get().saturating_sub(1));
+        self.unwritten_responses.set(self.unwritten_responses.get() + 1);
+        self.unwritten_since.set(self.unwritten_since.get().or(Some(now)));
+        self.last_active.set(now);
     }
 
-    /// The response that is ready is the last one of this connection.
-    pub(super) fn set_last_response(&self) {
+    /// Records that the response which is about to become ready is the last one of the connection.
+    pub(super) fn record_last_response(&self) {
         self.has_last_response.set(true);
     }
 
-    /// Whether the last response of this connection is ready.
+    /// Returns whether the last response of the connection is ready.
     pub(super) fn has_last_response(&self) -> bool {
         self.has_last_response.get()
     }
 
-    /// Whether more came behind an open request than is kept: the connection cannot go on after the response.
-    pub(super) fn read_ahead_overflowed(&self) -> bool {
-        self.read_ahead_overflowed.get()
-    }
-
-    /// More came behind an open request than is kept.
-    pub(super) fn set_read_ahead_overflowed(&self) {
-        self.read_ahead_overflowed.set(true);
-    }
-
-    /// What the rules have to know of it at this moment.
-    pub(super) fn facts(&self, is_shutting_down: bool) -> ClientConnectionFacts {
-        let elapsed_ms = |since: Instant| duration::to_ms(since.elapsed());
-        ClientConnectionFacts {
-            open_requests: self.open_requests.get(),
-            unwritten_for_ms: self.unwritten_since.get().map(elapsed_ms),
-            incomplete_for_ms: self.incomplete_since.get().map(elapsed_ms),
-            idle_ms: elapsed_ms(self.last_active.get()),
-            is_shutting_down,
+    /// Records that everything which was to be written has been written. Returns whether a response was among
+    /// it. Another request may be open, as hyper may have read it before.
+    pub(super) fn record_flush(&self) -> bool {
+        let written_responses = self.unwritten_responses.take();
+        if written_responses == 0 {
+            return false;
         }
+        self.open_requests.set(self.open_requests.get().saturating_sub(written_responses));
+        self.unwritten_since.set(None);
+        self.last_active.set(Instant::now());
+        self.close_signals.repeat_shutdown_request();
+        true
     }
+}
 
-    /// The least of these is evicted first: one that has sent no request or a part of one, the oldest, else the one
-    /// that has been idle for longest.
-    pub(super) fn eviction_rank(&self) -> (bool, Instant) {
-        (self.incomplete_since.get().is_none(), self.last_active.get())
-    }
-
-    /// Asks the connection's task for a graceful shutdown, now and each time that a response has been written.
-    pub(super) fn request_shutdown(&self) {
-        self.is_shutting_down.set(true);
-        self.shutdown.notify_one();
-    }
-
-    /// Awaited by the connection's task. A request made while nobody waits is kept, and cancelling loses none.
-    pub(super) fn shutdown_requested(&self) -> Notified<'_> {
-        self.shutdown.notified()
-    }
-
-    /// Asks the connection's task to close at once, if it may be closed still.
-    pub(super) fn request_abort(&self) {
-        self.abort.notify_one();
-    }
+/// A disconnect of the client is watched for. Dropping this ends the watch.
+pub(super) struct DisconnectWatch<'s> {
+    state: &'s ConnectionState,
+}
 
-    /// Awaited by the connection's task. Completes one yield after the request: a client's request that came before
-    /// it is to be read first, and after a stall that may need a run of the I/O driver. Cancelling during that yield
-    /// loses the abort; the sweep or the eviction that asked for it asks again.
-    pub(super) async fn abort_requested(&self) {
-        self.abort.notified().await;
-        tokio::task::yield_now().await;
+impl Drop for DisconnectWatch<'_> {
+    fn drop(&mut self) {
+        self.state.watches_disconnect.set(false);
     }
 }
 
--- a/limiter/src/frontend/connections.rs
+++ b/limiter/src/frontend/connections.rs
@@ -9,23 +9,30 @@
 use tokio::sync::Notify;
 
 use super::connection_state::ConnectionState;
-use super::read_ahead_memory::ReadAheadMemory;
+use super::read_ahead::{ReadAheadMemory, ReadAheadShare};
 
-/// How often connections are checked for being overdue. A few passes a second cost less than a timer for each request.
+/// How often connections are checked for being overdue. A few passes a second cost less than a timer for each
+/// request.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(250);
 
+/// Identifies a connection; ids ascend in the order of the accepts.
+pub(super) type ConnectionId = u64;
+
 /// The open client connections.
 pub(super) struct Connections {
-    /// By id, hence in the order in which they were accepted.
-    by_id: RefCell<BTreeMap<u64, Rc<ConnectionState>>>,
-    last_id: Cell<u64>,
+    /// Ordered by id, hence in the order in which they were accepted.
+    by_id: RefCell<BTreeMap<ConnectionId, Rc<ConnectionState>>>,
+    /// The id given to the newest connection.
+    last_id: Cell<ConnectionId>,
+    /// Notified when a connection has closed.
     closed: Notify,
     is_shutting_down: Cell<bool>,
     read_ahead_memory: ReadAheadMemory,
 }
 
 impl Connections {
-    /// No connection; all together may hold so much of what is read ahead, beyond what each may.
+    /// Creates an empty table. `read_ahead_bytes` bounds the bytes that are read ahead on all connections
+    /// together, beyond those that each connection may buffer in any case.
     pub(super) fn new(read_ahead_bytes: usize) -> Connections {
         Connections {
             by_id: RefCell::default(),
@@ -36,88 +43,114 @@
         }
     }
 
-    /// The memory for what is read ahead.
-    pub(super) fn read_ahead_memory(&self) -> &ReadAheadMemory {
-        &self.read_ahead_memory
+    /// Returns a new connection's share of the memory for reading ahead.
+    pub(super) fn share_read_ahead_memory(&self) -> ReadAheadShare {
+        self.read_ahead_memory.share()
     }
 
-    /// How many are open.
+    /// Returns the number of open connections.
     pub(super) fn len(&self) -> usize {
         self.by_id.borrow().len()
     }
 
-    /// Adds a connection that was accepted now; its id and its state.
-    pub(super) fn add(&self) -> (u64, Rc<ConnectionState>) {
+    /// Adds a connection that has just been accepted. It is removed when the returned guard is dropped.
+    pub(super) fn add(self: &Rc<Self>) -> OpenConnection {
         let id = self.last_id.get() + 1;
         self.last_id.set(id);
         let state = Rc::new(ConnectionState::new());
         self.by_id.borrow_mut().insert(id, state.clone());
-        (id, state)
-    }
-
-    /// Removes a connection that is closed.
-    pub(super) fn remove(&self, id: u64) {
-        self.by_id.borrow_mut().remove(&id);
-        self.closed.notify_one();
+        OpenConnection { id, state, connections: self.clone() }
     }
 
-    /// Awaited by the accept loop: completes after a connection has closed. Cancelling loses no notification.
+    /// Completes after a connection has closed. Awaited by the accept loop; cancelling loses no notification.
     pub(super) fn closed(&self) -> Notified<'_> {
         self.closed.notified()
     }
 
-    /// Whether no more requests are taken but those already on their way.
+    /// Returns whether the graceful shutdown of the connections has begun: no requests are accepted but those
+    /// that were already on their way.
     pub(super) fn is_shutting_down(&self) -> bool {
         self.is_shutting_down.get()
     }
 
-    /// Closes connections that have been idle for too long, or whose request has not arrived completely in time. Runs
-    /// as a task of its own and never completes; it holds no borrow while it sleeps.
+    /// Closes connections that have been idle for too long, or whose request has not arrived completely in
+    /// time. Runs as a task of its own and never completes. Cancelling only ends the checks: nothing is
+    /// borrowed or changed during the sleep.
     pub(super) async fn sweep(self: Rc<Self>) {
         loop {
             tokio::time::sleep(SWEEP_INTERVAL).await;
             for state in self.by_id.borrow().values() {
                 if state.facts(self.is_shutting_down()).is_overdue() {
-                    state.request_abort();
+                    state.close_signals().request_abort();
                 }
             }
         }
     }
 
-    /// Whether the shutdown has to wait for any connection.
+    /// Returns whether the shutdown has to wait for any connection.
     pub(super) fn blocks_shutdown(&self) -> bool {
-        self.by_id.borrow().values().any(|state| state.facts(self.is_shutting_down()).blocks_shutdown())
+        let is_shutting_down = self.is_shutting_down();
+        self.by_id.borrow().values().any(|state| state.facts(is_shutting_down).blocks_shutdown())
     }
 
-    /// Closes the connection of the lowest [`ConnectionState::eviction_rank`], if any may be evicted: clients that hold
-    /// idle connections or send partial requests must not keep others out.
+    /// Closes the connection of the lowest [`ConnectionState::eviction_rank`], if any may be evicted. Clients
+    /// with idle connections or partial requests must not exclude other clients.
     pub(super) fn evict_one(&self) {
+        let is_shutting_down = self.is_shutting_down();
         let by_id = self.by_id.borrow();
-        let evictable = by_id.values().filter(|state| state.facts(self.is_shutting_down()).may_evict());
+        let evictable = by_id.values().filter(|state| state.facts(is_shutting_down).may_evict());
         if let Some(state) = evictable.min_by_key(|state| state.eviction_rank()) {
-            state.request_abort();
+            state.close_signals().request_abort();
         }
     }
 
     /// Begins the graceful shutdown of all connections. Each connection's task then does one of three things:
     ///
-    /// - One that rests between requests, with nothing read ahead, is closed for reading and writing by hyper (1.12,
-    ///   `Conn::disable_keep_alive`) in the call itself, whatever the kernel has received for it: nothing of that is read,
-    ///   let alone forwarded, and the client sends it again.
-    /// - So is a new connection of which nothing has been read.
-    /// - In any other a request is open, read ahead, or half read: all that was read is answered completely, the last one
-    ///   with `Connection: close`; nothing after it is read. A connection whose response was on its way already is looked
-    ///   at again once that is written.
+    /// - A connection that is idle between two requests, with nothing read ahead, is closed for reading and
+    ///   writing by hyper (1.12, `Conn::disable_keep_alive`) within the call itself, whatever the kernel has
+    ///   received for it. Nothing of that is read, let alone forwarded, and the client sends the request again.
+    /// - A new connection of which nothing has been read is closed in the same way.
+    /// - On any other connection a request is open, read ahead, or partially read. All requests that were read
+    ///   are answered completely, the last one with `Connection: close`, and nothing after it is read. A
+    ///   connection whose response was already being written is examined again when the response has been
+    ///   written.
     ///
-    /// So no request is taken whose response could not be written.
+    /// So no request is read whose response could not be written.
     ///
-    /// A connection that was accepted just now has a request on its way: it is left alone, and ends with its response.
+    /// A connection that has just been accepted has a request on its way. It is not asked to shut down, and
+    /// ends with the response.
     pub(super) fn shut_down(&self) {
         self.is_shutting_down.set(true);
         for state in self.by_id.borrow().values() {
             if !state.facts(true).expects_request_soon() {
-                state.request_shutdown();
+                state.close_signals().request_shutdown();
             }
         }
     }
 }
+
+/// A connection in the table. Dropping it removes the connection, and notifies the accept loop.
+pub(super) struct OpenConnection {
+    id: ConnectionId,
+    state: Rc<ConnectionState>,
+    connections: Rc<Connections>,
+}
+
+impl OpenConnection {
+    /// Returns the id of the connection.
+    pub(super) fn id(&self) -> ConnectionId {
+        self.id
+    }
+
+    /// Returns the state of the connection.
+    pub(super) fn state(&self) -> &Rc<ConnectionState> {
+        &self.state
+    }
+}
+
+impl Drop for OpenConnection {
+    fn drop(&mut self) {
+        self.connections.by_id.borrow_mut().remove(&self.id);
+        self.connections.closed.notify_one();
+    }
+}
--- a/limiter/src/frontend/mod.rs
+++ b/limiter/src/frontend/mod.rs
@@ -1,24 +1,32 @@
 //! The HTTP server towards clients.
 //!
-//! [`serve`] runs the accept loop (`server`) over the listener (`acceptor`). Each accepted connection gets a task
-//! (`connection`) that drives hyper on a stream read ahead of it (`read_ahead`, bounded by `read_ahead_memory`), one request
-//! at a time (`request_framer`), and an entry (`connection_state`) in
-//! the table (`connections`) by which idle and slow clients are closed. A request (`request_handler`) is validated
-//! (`request_head`, `request_body`), submitted to the engine and answered (`response`). On a signal the server goes
-//! through the steps of a graceful shutdown (`shutdown`).
+//! Modules, in the order in which to read them; each one uses only those listed after it:
 //!
-//! All runs on one thread, so that state is shared through `Rc` and `Cell`; no borrow is held across an await.
+//! | module | job |
+//! | --- | --- |
+//! | [`server`] | runs the accept loop, and the graceful shutdown after a signal |
+//! | [`shutdown`] | the steps of the graceful shutdown |
+//! | [`acceptor`] | accepts connections, and drains the accept queue at the end |
+//! | [`connection`] | the task of one connection, which drives hyper |
+//! | [`request`] | validates a request, submits it to the engine and answers it |
+//! | [`connections`] | the table of open connections: sweep, eviction, shutdown |
+//! | [`read_ahead`] | reads the socket ahead of hyper, and gives hyper one request at a time |
+//! | [`connection_state`] | what is known of one connection, shared by its task and the table |
+//! | [`close_signals`] | requests to a connection's task to close its connection |
+//! | [`response`] | builds the responses to clients |
+//! | [`limits`] | bounds on the head of a request |
+//!
+//! The server runs on one thread. State is therefore shared through `Rc`, `Cell` and `RefCell`, and no borrow
+//! is held across an await.
 
 mod acceptor;
+mod close_signals;
 mod connection;
 mod connection_state;
 mod connections;
+mod limits;
 mod read_ahead;
-mod read_ahead_memory;
-mod request_body;
-mod request_framer;
-mod request_handler;
-mod request_head;
+mod request;
 mod response;
 mod server;
 mod shutdown;
--- /dev/null
+++ b/limiter/src/frontend/read_ahead/client_socket.rs
@@ -0,0 +1,32 @@
+//! A client's socket, as the engine and the request handler see it.
+
+use std::cell::RefCell;
+use std::rc::Rc;
+
+use super::ReadAhead;
+use crate::engine::ClientConnection;
+use crate::frontend::connection_state::ConnectionState;
+
+/// The socket of a client whose request is open.
+pub struct ClientSocket {
+    read_ahead: Rc<RefCell<ReadAhead>>,
+    state: Rc<ConnectionState>,
+}
+
+impl ClientSocket {
+    /// Creates a view of the socket of a connection with this state.
+    pub fn new(read_ahead: Rc<RefCell<ReadAhead>>, state: Rc<ConnectionState>) -> ClientSocket {
+        ClientSocket { read_ahead, state }
+    }
+
+    /// Returns whether the next request, or a part of it, was read while the present one is open.
+    pub fn has_pipelined_bytes(&self) -> bool {
+        self.read_ahead.borrow().has_bytes()
+    }
+}
+
+impl ClientConnection for ClientSocket {
+    fn is_closed_by_client(&self) -> bool {
+        self.read_ahead.borrow_mut().is_disconnected(&self.state)
+    }
+}
--- /dev/null
+++ b/limiter/src/frontend/request/handler.rs
@@ -0,0 +1,159 @@
+//! The steps of one request: receive, validate, submit to the engine, respond.
+
+use std::rc::Rc;
+use std::time::Duration;
+
+use hyper::body::Incoming;
+use hyper::{Method, Request, StatusCode};
+use limiter_core::rules::INCOMPLETE_REQUEST_TIMEOUT_MS;
+use tokio::time::{timeout_at, Instant};
+
+use super::body::{read_body, RequestBodyError};
+use super::head::{RequestHead, RequestHeadError};
+use crate::engine::{DuplicateRequest, Engine, PendingResponse};
+use crate::frontend::connection_state::ConnectionState;
+use crate::frontend::connections::Connections;
+use crate::frontend::read_ahead::ClientSocket;
+use crate::frontend::response::{self, ClientResponse};
+use crate::messages::request::ForwardedRequest;
+use crate::observability::metrics::Metrics;
+
+/// A request has to arrive completely within this time of its first byte, however slowly the client sends it.
+const INCOMPLETE_REQUEST_TIMEOUT: Duration = Duration::from_millis(INCOMPLETE_REQUEST_TIMEOUT_MS as u64);
+/// Path of the readiness check. The status of the response says whether the limiter is ready.
+const READINESS_PATH: &str = "/-/ready";
+
+/// Why a request was rejected before it was submitted. The message is the body of the response.
+#[derive(Debug, thiserror::Error)]
+enum RequestError {
+    /// The head is invalid.
+    #[error(transparent)]
+    Head(#[from] RequestHeadError),
+    /// The body is invalid, or did not arrive.
+    #[error(transparent)]
+    Body(#[from] RequestBodyError),
+    /// A request with the same correlation id is pending.
+    #[error("a request with this X-Correlation-Id is open")]
+    Duplicate,
+}
+
+impl RequestError {
+    /// Returns the status of the response.
+    fn status(&self) -> StatusCode {
+        match self {
+            RequestError::Head(error) => error.status(),
+            RequestError::Body(error) => error.status(),
+            RequestError::Duplicate => StatusCode::CONFLICT,
+        }
+    }
+}
+
+/// Handles the requests of one connection.
+pub struct RequestHandler {
+    engine: Rc<Engine>,
+    connections: Rc<Connections>,
+    state: Rc<ConnectionState>,
+    client: Rc<ClientSocket>,
+}
+
+impl RequestHandler {
+    /// Creates the handler of a connection with this state and socket.
+    pub fn new(
+        engine: Rc<Engine>,
+        connections: Rc<Connections>,
+        state: Rc<ConnectionState>,
+        client: Rc<ClientSocket>,
+    ) -> RequestHandler {
+        RequestHandler { engine, connections, state, client }
+    }
+
+    /// Handles a request whose head has arrived.
+    ///
+    /// Polled by hyper within the connection's task, one request at a time. The future is cancelled only
+    /// together with the connection; the engine then treats the client as disconnected.
+    pub async fn handle(&self, request: Request<Incoming>) -> ClientResponse {
+        self.state.record_head_received();
+        let mut response = self.respond(request).await;
+        if self.is_last_response() {
+            response::close_connection(&mut response);
+            self.state.record_last_response();
+        }
+        self.state.record_response_ready();
+        response
+    }
+
+    /// Returns whether the connection ends with the response that has just become ready. During the shutdown,
+    /// requests that were pipelined after this one are answered first. After an overflow, bytes that follow
+    /// this request were dropped.
+    fn is_last_response(&self) -> bool {
+        let is_shutdown_complete = self.connections.is_shutting_down() && !self.client.has_pipelined_bytes();
+        is_shutdown_complete || self.state.has_read_ahead_overflowed()
+    }
+
+    /// Returns the response to a request. Cancelling counts as a disconnect of the client.
+    async fn respond(&self, request: Request<Incoming>) -> ClientResponse {
+        let started_at = self.state.take_request_start();
+        if request.uri().path() == READINESS_PATH {
+            return self.readiness();
+        }
+        match self.receive(request, started_at).await {
+            Ok(pending) => self.wait_for_response(pending).await,
+            Err(error) => self.reject(&error),
+        }
+    }
+
+    /// Returns the response to a readiness check.
+    fn readiness(&self) -> ClientResponse {
+        let status = if self.engine.is_ready() { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
+        response::empty(status)
+    }
+
+    /// Counts and logs a request that was rejected before it was submitted, and returns its response.
+    fn reject(&self, error: &RequestError) -> ClientResponse {
+        let engine = &self.engine;
+        let status = error.status();
+        tracing::debug!(status = status.as_u16(), reason = %error, "bad request");
+        Metrics::count(&engine.metrics().bad_requests, status.canonical_reason().unwrap_or("other"));
+        response::reject(status, error.to_string())
+    }
+
+    /// Receives and validates a request whose first byte arrived at `started_at`, and submits it.
+    ///
+    /// # Errors
+    /// [`RequestError`] if the request is invalid, does not arrive in time, or has the correlation id of a
+    /// pending one.
+    async fn receive(
+        &self,
+        request: Request<Incoming>,
+        started_at: Instant,
+    ) -> Result<PendingResponse, RequestError> {
+        let (parts, body) = request.into_parts();
+        let head = RequestHead::parse(&parts, self.engine.config())?;
+        let body = timeout_at(started_at + INCOMPLETE_REQUEST_TIMEOUT, read_body(body)).await;
+        self.state.record_body_end();
+        let body = body.map_err(|_| RequestBodyError::TimedOut)??;
+        if parts.method == Method::GET && !body.is_empty() {
+            return Err(RequestBodyError::UnexpectedWithGet.into());
+        }
+        let forwarded = ForwardedRequest {
+            method: parts.method,
+            target: head.target,
+            correlation_id: head.correlation_id,
+            idempotency_key: head.idempotency_key,
+            body,
+        };
+        self.engine
+            .submit(forwarded, head.request, self.state.last_arrival(), self.client.clone())
+            .map_err(|DuplicateRequest| RequestError::Duplicate)
+    }
+
+    /// Waits for the final response. The connection's task watches for a disconnect of the client until then.
+    ///
+    /// Cancelling drops `pending`, which reports the disconnect to the engine.
+    async fn wait_for_response(&self, pending: PendingResponse) -> ClientResponse {
+        let disconnect_watch = self.state.watch_for_disconnect();
+        let response = pending.wait().await;
+        drop(disconnect_watch);
+        response::from_final(response)
+    }
+}
--- a/limiter/src/frontend/response.rs
+++ b/limiter/src/frontend/response.rs
@@ -8,22 +8,23 @@
 
 use crate::messages::request::FinalResponse;
 
-/// A response to a client; its body is complete from the start.
+/// A response to a client. The complete body is in memory.
 pub(super) type ClientResponse = Response<Full<Bytes>>;
 
-/// A response without a body.
+/// Returns a response without a body.
 pub(super) fn empty(status: StatusCode) -> ClientResponse {
     with_body(status, Bytes::new())
 }
 
-/// Rejects a request before it is submitted. Its body may be unread, so the connection ends.
+/// Returns the response to a request that is rejected before it is submitted. The body of the request may be
+/// unread, so the response ends the connection.
 pub(super) fn reject(status: StatusCode, reason: String) -> ClientResponse {
     let mut response = with_body(status, Bytes::from(reason));
     close_connection(&mut response);
     response
 }
 
-/// The response to a request that was submitted.
+/// Returns the response to a request that was submitted.
 pub(super) fn from_final(response: FinalResponse) -> ClientResponse {
     match response {
         FinalResponse::Served(body) => Response::new(Full::new(body)),
@@ -32,11 +33,12 @@
     }
 }
 
-/// Makes hyper end the connection after this response, and tells the client so.
+/// Makes hyper end the connection after this response, and announces that to the client.
 pub(super) fn close_connection(response: &mut ClientResponse) {
     response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
 }
 
+/// Returns the response to a request that was rejected, with advice on when to retry if there is any.
 fn too_many_requests(retry_after_ms: Millis) -> ClientResponse {
     let mut response = empty(StatusCode::TOO_MANY_REQUESTS);
     if retry_after_ms > 0.0 {
@@ -47,6 +49,7 @@
     response
 }
 
+/// Returns a response with a status and a body.
 fn with_body(status: StatusCode, body: Bytes) -> ClientResponse {
     let mut response = Response::new(Full::new(body));
     *response.status_mut() = status;
--- a/limiter/src/frontend/server.rs
+++ b/limiter/src/frontend/server.rs
@@ -11,14 +11,15 @@
 use crate::net::Listener;
 use crate::runtime::duration;
 
-/// How often the accept loop checks whether there is room again, or a step of the shutdown is due.
+/// How often the accept loop checks whether another connection may be opened, or a step of the shutdown is
+/// due.
 const TICK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Accepts and serves connections until `stop` yields the name of a signal, then shuts down gracefully: shuts down
-/// the connections, closes the listener, and returns once all that was accepted is answered.
+/// Accepts and serves connections until `stop` yields the name of a signal, then shuts down gracefully: shuts
+/// down the connections, closes the listener, and returns once every request that was accepted is answered.
 ///
-/// Awaited by `main`, whose runtime ends with it and cancels the tasks that are left. Cancelling this closes the
-/// listener and leaves the connections' tasks running.
+/// Awaited by `main`, whose runtime ends after this returns and cancels the tasks that are left. Cancelling
+/// closes the listener and leaves the connections' tasks running.
 pub async fn serve(engine: &Rc<Engine>, listener: Listener, stop: impl Future<Output = &'static str>) {
     let connections = Rc::new(Connections::new(engine.config().max_read_ahead_bytes));
     tokio::task::spawn_local(connections.clone().sweep());
@@ -27,19 +28,19 @@
     let mut shutdown: Option<Shutdown> = None;
     tokio::pin!(stop);
     loop {
-        let has_room = acceptor.has_room();
-        if !has_room {
-            connections.evict_one();
+        let has_capacity = acceptor.has_capacity();
+        if !has_capacity {
+            acceptor.make_room();
         }
         if let Some(shutdown) = &mut shutdown {
             if shutdown.advance(&connections, &mut acceptor).await {
                 return;
             }
         }
-        let needs_tick = shutdown.is_some() || !has_room;
-        // Each branch is safe to cancel: what it waits for is found again in the next turn.
+        let needs_tick = shutdown.is_some() || !has_capacity;
+        // Every branch is safe to cancel: an event that it misses is found in the next iteration.
         tokio::select! {
-            accepted = acceptor.accept(), if has_room => acceptor.accepted(accepted).await,
+            accepted = acceptor.accept(), if has_capacity => acceptor.handle_accepted(accepted).await,
             signal = &mut stop, if shutdown.is_none() => {
                 tracing::info!("{signal}: shutting down");
                 shutdown = Some(Shutdown::begin(serve_after_signal));
