--- /dev/null
+++ b/limiter/src/discovery/error.rs
@@ -0,0 +1,60 @@
+//! Why a watch has ended.
+
+use super::framing::FramingError;
+use super::request::WatchRequestError;
+
+/// Why a watch has ended.
+#[derive(Debug, thiserror::Error)]
+pub enum WatchError {
+    /// Discovery has not answered the request in time, or the watch was silent for
+    /// [`super::policy::MAX_SILENCE`].
+    #[error("nothing came in time")]
+    Silent,
+    /// The request failed for another reason.
+    #[error(transparent)]
+    Request(WatchRequestError),
+    /// The connection failed.
+    #[error("the connection failed: {0}")]
+    Connection(#[source] hyper::Error),
+    /// Discovery ended the watch.
+    #[error("discovery ended the watch")]
+    Ended,
+    /// A JSON object is not an endpoint list.
+    #[error("a list cannot be read: {0}")]
+    InvalidList(#[from] serde_json::Error),
+    /// The response cannot be split into JSON objects.
+    #[error("a list cannot be read: {0}")]
+    Framing(#[from] FramingError),
+    /// A newer source has announced a list and counts from now on.
+    #[error("superseded by a newer source")]
+    Superseded,
+}
+
+impl WatchError {
+    /// Returns the label under which the end of the watch is counted.
+    pub fn kind(&self) -> &'static str {
+        match self {
+            WatchError::Silent => "silent",
+            WatchError::Request(_) => "call failed",
+            WatchError::Connection(_) => "connection failed",
+            WatchError::Ended => "ended",
+            WatchError::InvalidList(_) | WatchError::Framing(_) => "unreadable",
+            WatchError::Superseded => "superseded",
+        }
+    }
+
+    /// Returns whether discovery sent what could not be read.
+    pub fn is_unreadable(&self) -> bool {
+        matches!(self, WatchError::InvalidList(_) | WatchError::Framing(_))
+    }
+}
+
+impl From<WatchRequestError> for WatchError {
+    /// A request that timed out counts as a silent watch, since the same waits follow.
+    fn from(error: WatchRequestError) -> WatchError {
+        match error {
+            WatchRequestError::TimedOut => WatchError::Silent,
+            error => WatchError::Request(error),
+        }
+    }
+}
--- a/limiter/src/discovery/framing.rs
+++ b/limiter/src/discovery/framing.rs
@@ -1,15 +1,16 @@
-//! Cuts a byte stream into JSON objects.
+//! Splits a byte stream into JSON objects.
 
 use bytes::{Buf, BytesMut};
 
-/// Longest object taken in, in bytes: bounds what a broken discovery can make the limiter hold. The largest fleet has
-/// 3,200 servers, twice as many are listed while all of them are replaced, and an indented entry has some 300 bytes: 2 MB.
+/// Longest object that is accepted, in bytes. Bounds the memory that a faulty discovery can make the limiter
+/// use. The largest fleet has 3,200 servers, twice as many are listed while all of them are replaced, and an
+/// indented entry has some 300 bytes: about 2 MB, half of this bound.
 pub const MAX_OBJECT_BYTES: usize = 4 << 20;
 
-/// Why a stream cannot be cut any further.
+/// Why a stream cannot be split any further.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum FramingError {
-    /// Something else stands where an object should begin.
+    /// The stream continues with something other than an object.
     #[error("not a JSON object")]
     NotAnObject,
     /// An object is longer than [`MAX_OBJECT_BYTES`].
@@ -17,35 +18,37 @@
     TooLong,
 }
 
-/// Cuts a stream of JSON objects apart, however they are laid out and wherever their chunks end. It checks only what it
-/// needs for that; the objects may be malformed inside.
+/// Splits a stream into JSON objects, however they are laid out and wherever the chunks of the stream end.
+/// The framer checks only brackets and strings: an object may be malformed inside.
 #[derive(Default)]
 pub struct ObjectFramer {
     buffer: BytesMut,
-    /// Bytes of the buffer that were scanned.
+    /// Number of bytes of the buffer that were scanned.
     scanned: usize,
-    /// Brackets that are open there.
+    /// Number of brackets that are open after the scanned bytes.
     depth: u32,
-    in_string: bool,
-    escaped: bool,
+    /// The scanned bytes end within a string.
+    is_in_string: bool,
+    /// The next byte is escaped by a backslash.
+    is_escaped: bool,
 }
 
 impl ObjectFramer {
-    /// Takes the next chunk of the stream.
+    /// Appends the next chunk of the stream.
     pub fn push(&mut self, data: &[u8]) {
         self.buffer.extend_from_slice(data);
     }
 
-    /// Whether no object has begun that is incomplete. White space between objects is only skipped by
-    /// [`ObjectFramer::next_object`].
+    /// Returns whether no incomplete object has begun. Call [`ObjectFramer::next_object`] first, which skips
+    /// the white space between objects.
     pub fn is_between_objects(&self) -> bool {
         self.buffer.is_empty()
     }
 
-    /// The next complete object, if it has arrived.
+    /// Returns the next object, if it has arrived completely.
     ///
     /// # Errors
-    /// [`FramingError`]; the stream is of no use from then on.
+    /// [`FramingError`]; the rest of the stream cannot be used.
     pub fn next_object(&mut self) -> Result<Option<BytesMut>, FramingError> {
         if self.depth == 0 {
             self.find_beginning()?;
@@ -63,22 +66,23 @@
         Ok(None)
     }
 
+    /// Skips white space up to the beginning of an object.
     fn find_beginning(&mut self) -> Result<(), FramingError> {
-        let blank = self.buffer.iter().take_while(|byte| byte.is_ascii_whitespace()).count();
-        self.buffer.advance(blank);
+        let blank_length = self.buffer.iter().take_while(|byte| byte.is_ascii_whitespace()).count();
+        self.buffer.advance(blank_length);
         match self.buffer.first() {
             None | Some(b'{') => Ok(()),
             Some(_) => Err(FramingError::NotAnObject),
         }
     }
 
-    /// Takes one byte in; true if it ends the object.
+    /// Scans one byte. Returns whether it ends the object.
     fn scan(&mut self, byte: u8) -> bool {
         match byte {
-            _ if self.escaped => self.escaped = false,
-            b'\\' if self.in_string => self.escaped = true,
-            b'"' => self.in_string = !self.in_string,
-            _ if self.in_string => {}
+            _ if self.is_escaped => self.is_escaped = false,
+            b'\\' if self.is_in_string => self.is_escaped = true,
+            b'"' => self.is_in_string = !self.is_in_string,
+            _ if self.is_in_string => {}
             b'{' | b'[' => self.depth += 1,
             b'}' | b']' => {
                 self.depth -= 1;
@@ -89,3 +93,6 @@
         false
     }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/limiter/src/discovery/in_flight.rs
@@ -0,0 +1,83 @@
+//! The watch requests that are in flight: the newest, and an earlier one that was not answered in time.
+
+use std::future::Future;
+use std::pin::Pin;
+use std::time::Duration;
+
+use tokio::time::{sleep_until, timeout, Instant};
+
+use super::request::{send_watch_request, WatchRequestError, WatchStream};
+use super::source::WatchSource;
+
+/// A request that was not answered in time is awaited until this time after it was sent, beside the requests
+/// that follow it. Discovery may be slow or overloaded, and a change counts as announced 6 s after discovery
+/// had it.
+const SLOW_REQUEST_TIMEOUT: Duration = Duration::from_secs(6);
+
+/// A watch request that awaits its response. Dropping it closes its connection.
+type InFlightRequest = Pin<Box<dyn Future<Output = Result<WatchStream, WatchRequestError>>>>;
+
+/// A request that was not answered in time.
+struct SlowRequest {
+    request: InFlightRequest,
+    /// The request is abandoned at this time.
+    deadline: Instant,
+}
+
+/// Sends the requests of one watch, and keeps those that are in flight.
+pub struct InFlightRequests {
+    /// Longest time for which the newest request is awaited before another one is sent.
+    response_timeout: Duration,
+    /// The oldest request that is still unanswered: its response is the closest.
+    slow: Option<SlowRequest>,
+}
+
+impl InFlightRequests {
+    /// Creates an empty set of requests.
+    pub fn new(response_timeout: Duration) -> InFlightRequests {
+        InFlightRequests { response_timeout, slow: None }
+    }
+
+    /// Requests a watch on a source, from the last version of its list that was read. A response to the slow
+    /// request is as good. After a response every other request is dropped.
+    ///
+    /// Cancelling drops the new request, and leaves the slow one in flight.
+    ///
+    /// # Errors
+    /// [`WatchRequestError`] if the new request fails, or no request is answered in time.
+    pub async fn open_watch(&mut self, source: &WatchSource) -> Result<WatchStream, WatchRequestError> {
+        let sent_at = Instant::now();
+        let mut request: InFlightRequest = Box::pin(send_watch_request(source.clone()));
+        let response = timeout(self.response_timeout, self.first_response(&mut request)).await;
+        let Ok(response) = response else {
+            self.slow
+                .get_or_insert_with(|| SlowRequest { request, deadline: sent_at + SLOW_REQUEST_TIMEOUT });
+            return Err(WatchRequestError::TimedOut);
+        };
+        if response.is_ok() {
+            self.slow = None;
+        }
+        response
+    }
+
+    /// Returns the first response to the new request or to the slow one. The slow request is dropped if it
+    /// fails or times out; the new one is then awaited alone. Cancelling loses neither request.
+    async fn first_response(
+        &mut self,
+        request: &mut InFlightRequest,
+    ) -> Result<WatchStream, WatchRequestError> {
+        if let Some(slow) = &mut self.slow {
+            let slow_response = tokio::select! {
+                response = &mut *request => return response,
+                slow_response = &mut slow.request => slow_response.ok(),
+                () = sleep_until(slow.deadline) => None,
+            };
+            // The slow request has ended and must not be polled again.
+            self.slow = None;
+            if let Some(watch) = slow_response {
+                return Ok(watch);
+            }
+        }
+        request.await
+    }
+}
--- a/limiter/src/discovery/policy.rs
+++ b/limiter/src/discovery/policy.rs
@@ -1,57 +1,61 @@
-//! How patiently discovery is called.
+//! How often discovery is asked for a watch, and how long each answer is awaited.
 
 use std::time::Duration;
 
 use limiter_core::Settings;
 
-/// Keep-alives come every 2 s; a watch is given up after this time without one. What a silent watch misses counts as
-/// announced 6 s after it fell silent: this leaves enough for the longest first backoff
+/// Longest time between two signs of a watch that makes progress; discovery sends a keep-alive every 2 s. A
+/// watch that is silent for longer times out. The changes that a silent watch misses count as announced 6 s
+/// after the watch fell silent: this timeout leaves enough time for the longest first backoff
 /// ([`SUBSCRIBED_MAX_INITIAL_BACKOFF`]) and a response.
 pub const MAX_SILENCE: Duration = Duration::from_millis(2500);
 
-/// Longest wait for a response where lists are pushed. An agent on this machine answers at once and at no cost, and
-/// what it has counts as announced: no time without a watch may be longer than the rules allow sends to a server that
-/// drains, 250 ms.
+/// Longest wait for a response where lists are pushed. A local agent answers at once and at no cost, and the
+/// changes that the agent has count as announced. No time without a watch may be longer than the rules allow
+/// sends to a draining server, 250 ms.
 const PUSHED_RESPONSE_TIMEOUT: Duration = Duration::from_millis(200);
-/// First backoff where lists are pushed.
+/// Bound of the first backoff where lists are pushed.
 const PUSHED_INITIAL_BACKOFF: Duration = Duration::from_millis(25);
-/// Longest backoff where lists are pushed: with [`PUSHED_RESPONSE_TIMEOUT`] 250 ms.
+/// Bound of every backoff where lists are pushed. Together with [`PUSHED_RESPONSE_TIMEOUT`] this makes 250
+/// ms.
 const PUSHED_MAX_BACKOFF: Duration = Duration::from_millis(50);
 
 /// Longest wait for a response where lists are subscribed to.
 const SUBSCRIBED_RESPONSE_TIMEOUT: Duration = Duration::from_millis(2500);
-/// First backoff where lists are subscribed to, for a few limiters.
+/// Least bound of the first backoff where lists are subscribed to, which applies to a few limiters.
 const SUBSCRIBED_MIN_INITIAL_BACKOFF: Duration = Duration::from_millis(50);
-/// The first backoff's part for each limiter of a fleet. One discovery serves all: when it drops or fails all at once
-/// and they come back in step, each call waits behind calls that nobody waits for any more, and no watch is ever begun.
+/// Part of the first backoff's bound for each limiter of a fleet. One discovery serves the whole fleet. When
+/// it drops or fails all watches at once and the limiters reconnect in step, each request queues among
+/// requests that nobody awaits any more, and no watch is ever opened.
 const SUBSCRIBED_INITIAL_BACKOFF_PER_LIMITER: Duration = Duration::from_millis(20);
-/// The longest that the first backoff grows to, for the clock of [`MAX_SILENCE`].
+/// Largest bound of the first backoff, which [`MAX_SILENCE`] leaves time for.
 const SUBSCRIBED_MAX_INITIAL_BACKOFF: Duration = Duration::from_secs(2);
-/// Longest backoff where lists are subscribed to, for a few limiters.
-const SUBSCRIBED_MIN_BACKOFF_CAP: Duration = Duration::from_millis(1000);
-/// The longest backoff's part for each limiter of a fleet.
+/// Least bound of every backoff where lists are subscribed to, which applies to a few limiters.
+const SUBSCRIBED_MIN_BACKOFF_CAP: Duration = Duration::from_secs(1);
+/// Part of every backoff's bound for each limiter of a fleet.
 const SUBSCRIBED_BACKOFF_CAP_PER_LIMITER: Duration = Duration::from_millis(100);
-/// The longest that the longest backoff grows to. A change counts as announced 6 s after discovery had it and could be
-/// reached, whatever failed before: from the beginning of one call to that of the next it takes no longer than this,
-/// which leaves 2 s for the response. Where all calls of a fleet of n limiters fail, the mean wait is three quarters of
-/// this, so that they make n / 3 calls a second.
+/// Largest bound of every backoff. A change counts as announced 6 s after discovery had it and could be
+/// reached, whatever failed before. From the beginning of one request to that of the next it takes no longer
+/// than this, which leaves 2 s for the response. Where all requests of a fleet of n limiters fail, the mean
+/// wait is three quarters of this, so that the fleet sends n / 3 requests a second.
 const SUBSCRIBED_MAX_BACKOFF_CAP: Duration = Duration::from_secs(4);
 
-/// How discovery is called.
+/// How often discovery is asked for a watch, and how long each answer is awaited.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct WatchPolicy {
-    /// Longest wait from the beginning of a call to the head of its response.
+    /// Longest wait from the beginning of a request to the head of its response.
     pub response_timeout: Duration,
     /// Bound of the first backoff.
     pub initial_backoff: Duration,
-    /// Bound of the backoff after many failures.
+    /// Bound of every backoff, after however many failures.
     pub max_backoff: Duration,
-    /// After a timeout the call is repeated at once, without a backoff.
+    /// A request that timed out, or a watch that fell silent, is followed by the next request without a
+    /// backoff.
     pub retry_timeout_immediately: bool,
 }
 
 impl WatchPolicy {
-    /// The policy under these settings.
+    /// Returns the policy under these settings.
     pub fn new(settings: &Settings) -> WatchPolicy {
         if settings.must_subscribe {
             WatchPolicy::subscribed(settings.limiters)
@@ -60,6 +64,7 @@
         }
     }
 
+    /// Returns the policy where a local agent pushes lists.
     fn pushed() -> WatchPolicy {
         WatchPolicy {
             response_timeout: PUSHED_RESPONSE_TIMEOUT,
@@ -69,6 +74,7 @@
         }
     }
 
+    /// Returns the policy of each limiter of a fleet that subscribes to the list of one discovery.
     fn subscribed(limiters: u32) -> WatchPolicy {
         let initial_backoff = SUBSCRIBED_INITIAL_BACKOFF_PER_LIMITER * limiters;
         let max_backoff = SUBSCRIBED_BACKOFF_CAP_PER_LIMITER * limiters;
@@ -81,3 +87,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/limiter/src/discovery/connection.rs
+++ b/limiter/src/discovery/request.rs
@@ -1,4 +1,4 @@
-//! One call for a watch.
+//! One watch request.
 
 use std::io;
 
@@ -14,13 +14,14 @@
 use super::source::WatchSource;
 use crate::net::Stream;
 
-/// Asks for a list and its changes; the response's body goes on for as long as the watch.
+/// Path of a watch request. The body of the response is a list, followed by its changes for as long as the
+/// watch lasts.
 const WATCH_PATH: &str = "/api/targets?watch=1";
 
-/// Why a call got no watch.
+/// Why a request opened no watch.
 #[derive(Debug, thiserror::Error)]
-pub enum CallError {
-    /// No response came in time.
+pub enum WatchRequestError {
+    /// No response arrived in time.
     #[error("no response in time")]
     TimedOut,
     /// Discovery cannot be reached.
@@ -29,22 +30,29 @@
     /// The connection failed before the response.
     #[error("the connection failed: {0}")]
     Http(#[from] hyper::Error),
-    /// The request has no valid form.
+    /// The address or the version cannot be written in a request.
     #[error("the request cannot be written: {0}")]
-    Request(#[from] hyper::http::Error),
-    /// Discovery refuses a watch.
+    InvalidRequest(#[from] hyper::http::Error),
+    /// Discovery rejected the request.
     #[error("discovery answered {0}")]
     Status(StatusCode),
 }
 
 /// A watch that discovery has accepted. Dropping it closes the connection.
 pub struct WatchStream {
-    /// What discovery announces.
+    /// The list and its changes.
     pub body: Incoming,
     _connection: ConnectionTask,
 }
 
-/// The task that does a connection's input and output. Dropping it ends the task and so closes the connection.
+/// A connection that a request can be sent on.
+struct WatchConnection {
+    sender: SendRequest<Empty<Bytes>>,
+    task: ConnectionTask,
+}
+
+/// The task that does the input and output of a connection. Dropping this cancels the task, which closes the
+/// connection.
 struct ConnectionTask(JoinHandle<()>);
 
 impl Drop for ConnectionTask {
@@ -53,28 +61,30 @@
     }
 }
 
-/// Calls a source for a watch from its last version on, however long that takes. Dropping the future closes the
-/// connection.
+/// Requests a watch on a source, from the last version of its list that was read. Waits for the response
+/// without a limit. Cancelling closes the connection.
 ///
 /// # Errors
-/// [`CallError`] if there is no watch.
-pub async fn open_watch(source: WatchSource) -> Result<WatchStream, CallError> {
-    let (mut sender, connection) = connect(&source).await?;
-    let response = sender.send_request(build_request(&source)?).await?;
+/// [`WatchRequestError`], but never [`WatchRequestError::TimedOut`].
+pub async fn send_watch_request(source: WatchSource) -> Result<WatchStream, WatchRequestError> {
+    let mut connection = connect(&source).await?;
+    let response = connection.sender.send_request(build_request(&source)?).await?;
     if response.status() != StatusCode::OK {
-        return Err(CallError::Status(response.status()));
+        return Err(WatchRequestError::Status(response.status()));
     }
-    Ok(WatchStream { body: response.into_body(), _connection: connection })
+    Ok(WatchStream { body: response.into_body(), _connection: connection.task })
 }
 
-async fn connect(source: &WatchSource) -> Result<(SendRequest<Empty<Bytes>>, ConnectionTask), CallError> {
+/// Connects to a source. Cancelling closes the connection.
+async fn connect(source: &WatchSource) -> Result<WatchConnection, WatchRequestError> {
     let stream = Stream::connect(source.address).await?;
     let (sender, connection) = http1::handshake(TokioIo::new(stream)).await?;
-    // How the connection ends is seen by the body's reader.
+    // The result is dropped because the reader of the body sees how the connection ends.
     let task = tokio::task::spawn_local(async move { drop(connection.await) });
-    Ok((sender, ConnectionTask(task)))
+    Ok(WatchConnection { sender, task: ConnectionTask(task) })
 }
 
+/// Builds a watch request for the versions after the last one that was read.
 fn build_request(source: &WatchSource) -> hyper::http::Result<Request<Empty<Bytes>>> {
     let path = match source.version {
         Some(version) => format!("{WATCH_PATH}&after={version}"),
--- a/limiter/src/discovery/watch.rs
+++ b/limiter/src/discovery/watch.rs
@@ -1,111 +1,71 @@
-//! The watch on one source: reads its list and changes, and begins anew when it ends.
+//! The watch on one source: applies its lists, and is reopened whenever it ends.
 
 use std::rc::Rc;
 use std::time::Duration;
 
-use bytes::Bytes;
-use http_body_util::BodyExt;
-use hyper::body::{Frame, Incoming};
+use hyper::body::Incoming;
 use limiter_core::Event;
-use tokio::time::{timeout_at, Instant};
+use tokio::time::Instant;
 
 use super::backoff::Backoff;
-use super::calls::Calls;
-use super::connection::CallError;
-use super::framing::{FramingError, ObjectFramer};
-use super::policy::{WatchPolicy, MAX_SILENCE};
+use super::error::WatchError;
+use super::in_flight::InFlightRequests;
+use super::policy::WatchPolicy;
+use super::reader::ListReader;
 use super::source::{WatchSource, WatchTarget};
 use crate::endpoints::EndpointList;
 use crate::engine::Engine;
 use crate::observability::metrics::Metrics;
 
-/// Why a watch has ended.
-#[derive(Debug, thiserror::Error)]
-pub enum WatchError {
-    /// Discovery has not answered the call, or nothing has come on the watch for [`MAX_SILENCE`].
-    #[error("nothing came in time")]
-    Silent,
-    /// The call failed otherwise.
-    #[error(transparent)]
-    Call(CallError),
-    /// The connection failed.
-    #[error("the connection failed: {0}")]
-    Connection(hyper::Error),
-    /// Discovery ended the watch.
-    #[error("discovery ended the watch")]
-    Ended,
-    /// What came is no list.
-    #[error("a list cannot be read: {0}")]
-    InvalidList(#[from] serde_json::Error),
-    /// What came cannot be cut into lists.
-    #[error("a list cannot be read: {0}")]
-    Framing(#[from] FramingError),
-    /// A newer source counts from now on.
-    #[error("superseded by a newer source")]
-    Superseded,
-}
-
-impl WatchError {
-    /// The kind under which it is counted.
-    fn kind(&self) -> &'static str {
-        match self {
-            WatchError::Silent => "silent",
-            WatchError::Call(_) => "call failed",
-            WatchError::Connection(_) => "connection failed",
-            WatchError::Ended => "ended",
-            WatchError::InvalidList(_) | WatchError::Framing(_) => "unreadable",
-            WatchError::Superseded => "superseded",
-        }
-    }
-
-    /// Whether what came could not be read.
-    fn is_unreadable(&self) -> bool {
-        matches!(self, WatchError::InvalidList(_) | WatchError::Framing(_))
-    }
-}
-
-impl From<CallError> for WatchError {
-    /// A call that timed out is a silent watch: the waits that follow are the same.
-    fn from(error: CallError) -> WatchError {
-        match error {
-            CallError::TimedOut => WatchError::Silent,
-            error => WatchError::Call(error),
-        }
-    }
-}
-
 /// A watch that has ended.
 struct EndedWatch {
+    /// Why the watch has ended.
     error: WatchError,
-    began: Instant,
-    /// Discovery had answered the call.
-    answered: bool,
-    /// A list of another version was read.
-    progressed: bool,
+    /// When the watch was requested.
+    requested_at: Instant,
+    /// Discovery had accepted the request.
+    was_accepted: bool,
+    /// A list of another version than before was read.
+    has_progressed: bool,
 }
 
-/// Keeps one source watched.
+/// Watches one source.
 pub struct Watch {
     engine: Rc<Engine>,
     target: Rc<WatchTarget>,
     source: WatchSource,
     policy: WatchPolicy,
-    calls: Calls,
+    requests: InFlightRequests,
     backoff: Backoff,
+    /// The core knows that discovery is connected by the present watch.
+    has_reported_connection: bool,
+    /// Why the last watch ended, to log a repeated error once.
     last_error: Option<String>,
 }
 
 impl Watch {
-    /// A watch that has not begun. The seed of its backoff is the limiter's, altered by the source's number.
+    /// Creates a watch that has not been requested. The seed of its backoff is the limiter's, altered by the
+    /// source's number.
     pub fn new(engine: Rc<Engine>, target: Rc<WatchTarget>, source: WatchSource) -> Watch {
         let policy = WatchPolicy::new(&engine.config().settings);
         let seed = engine.config().seed ^ u64::from(source.number);
-        let (calls, backoff) = (Calls::new(policy.response_timeout), Backoff::new(policy, seed));
-        Watch { engine, target, source, policy, calls, backoff, last_error: None }
+        Watch {
+            engine,
+            target,
+            source,
+            policy,
+            requests: InFlightRequests::new(policy.response_timeout),
+            backoff: Backoff::new(policy, seed),
+            has_reported_connection: false,
+            last_error: None,
+        }
     }
 
-    /// Watches the source until there is a newer one and the present watch has ended. A watch that ends, breaks or
-    /// falls silent is begun anew from the last version. Its connection is closed before the wait for the next one.
+    /// Watches the source until there is a newer one and the present watch has ended. A watch that ends,
+    /// breaks or falls silent is reopened from the last version. The connection of a watch is closed before
+    /// the wait for the next one.
+    ///
+    /// Cancelling ends the watch and closes all its connections; the lists that were read have been applied.
     pub async fn run(mut self) {
         loop {
             let ended = self.watch_once().await;
@@ -117,32 +77,39 @@
             let wait = self.next_wait(&ended);
             self.log_end(&ended);
             tokio::time::sleep(wait).await;
-            // What cannot be read from the last version on may be read in the complete list.
-            if ended.error.is_unreadable() && !ended.progressed {
+            // Changes that cannot be read from the last version on may be readable in the complete list.
+            if ended.error.is_unreadable() && !ended.has_progressed {
                 self.source.version = None;
             }
         }
     }
 
+    /// Requests a watch and reads it until it ends.
     async fn watch_once(&mut self) -> EndedWatch {
-        let began = Instant::now();
-        let version = self.source.version;
-        let (error, answered) = match self.calls.open_watch(&self.source).await {
-            Ok(mut stream) => (self.read(&mut stream.body).await, true),
-            Err(error) => (error.into(), false),
+        let requested_at = Instant::now();
+        let version_before = self.source.version;
+        let mut was_accepted = false;
+        let error = match self.requests.open_watch(&self.source).await {
+            Ok(mut stream) => {
+                was_accepted = true;
+                self.read(&mut stream.body).await
+            }
+            Err(error) => error.into(),
         };
-        EndedWatch { error, began, answered, progressed: self.source.version != version }
+        let has_progressed = self.source.version != version_before;
+        EndedWatch { error, requested_at, was_accepted, has_progressed }
     }
 
-    /// The time until the next call. One random draw is made in any case.
+    /// Returns the time until the next request. One random draw is made in any case.
     fn next_wait(&mut self, ended: &EndedWatch) -> Duration {
         let is_silent = matches!(ended.error, WatchError::Silent);
-        let elapsed = ended.began.elapsed();
-        // A watch that fell silent has its own clock, whatever it announced; one that broke soon is as good as none.
-        let lasted = ended.answered && (is_silent || elapsed > self.policy.max_backoff);
-        let backoff = if ended.progressed || lasted {
+        let elapsed = ended.requested_at.elapsed();
+        // A watch that fell silent has a clock of its own, whatever it announced. One that ended soon is as
+        // good as none.
+        let has_lasted = ended.was_accepted && (is_silent || elapsed > self.policy.max_backoff);
+        let backoff = if ended.has_progressed || has_lasted {
             self.backoff.after_success()
-        } else if ended.answered {
+        } else if ended.was_accepted {
             self.backoff.after_failure(Duration::ZERO)
         } else {
             self.backoff.after_failure(elapsed)
@@ -154,88 +121,60 @@
         }
     }
 
-    /// Logs why a watch has ended; once if watches end in the same way many times a second.
+    /// Logs why a watch has ended. An error that occurs many times a second is logged once.
     fn log_end(&mut self, ended: &EndedWatch) {
         Metrics::count(&self.engine.metrics().watches_ended, ended.error.kind());
         let error = ended.error.to_string();
-        if ended.progressed || self.last_error.as_ref() != Some(&error) {
+        if ended.has_progressed || self.last_error.as_ref() != Some(&error) {
             tracing::info!("discovery: {error}; watching again");
         }
         self.last_error = Some(error);
     }
 
-    /// Reads what the source announces until the watch ends.
+    /// Reads the lists that the source announces until the watch ends. Returns why it has ended.
     async fn read(&mut self, body: &mut Incoming) -> WatchError {
-        let mut reader = WatchReader::new();
+        self.has_reported_connection = false;
+        let mut reader = ListReader::new();
         loop {
-            if let Err(error) = self.read_chunk(&mut reader, body).await {
+            if let Err(error) = self.read_frame(&mut reader, body).await {
                 return error;
             }
         }
     }
 
-    async fn read_chunk(&mut self, reader: &mut WatchReader, body: &mut Incoming) -> Result<(), WatchError> {
+    /// Reads one frame, and applies the lists that are complete with it. After a list that cannot be read,
+    /// the watch is reopened from the last version that could be read.
+    async fn read_frame(&mut self, reader: &mut ListReader, body: &mut Incoming) -> Result<(), WatchError> {
         let frame = reader.next_frame(body).await?;
         if self.target.is_superseded(self.source.number) {
             return Err(WatchError::Superseded);
         }
         let Some(data) = frame.data_ref() else { return Ok(()) };
-        reader.framer.push(data);
-        // After one that cannot be read the watch begins anew where the list was still complete.
-        while let Some(object) = reader.framer.next_object()? {
-            self.apply(serde_json::from_slice(&object)?);
+        reader.push(data);
+        while let Some(list) = reader.next_list()? {
+            self.apply(&list);
             reader.renew_deadline();
         }
-        // A keep-alive within an object that goes no further is no sign of life.
-        if reader.framer.is_between_objects() {
+        // A keep-alive within an incomplete list does not prove that the watch makes progress.
+        if reader.is_between_lists() {
             reader.renew_deadline();
-            self.report_first_contact(reader);
+            self.report_connection();
         }
         Ok(())
     }
 
-    fn apply(&mut self, list: EndpointList) {
+    /// Passes a list to the engine.
+    fn apply(&mut self, list: &EndpointList) {
         self.source.version = Some(list.version);
         self.target.record_announcement(self.source.number);
         self.engine.update_endpoints(list.resolve(&self.engine.config().names));
     }
 
-    /// Tells the core, once a watch, that discovery is in touch: that nothing has changed is news, too.
-    fn report_first_contact(&self, reader: &mut WatchReader) {
-        if !std::mem::replace(&mut reader.in_touch, true) {
+    /// Reports to the core, once a watch, that discovery is connected. An empty change does so: that nothing
+    /// has changed is an announcement, too.
+    fn report_connection(&mut self) {
+        if !std::mem::replace(&mut self.has_reported_connection, true) {
             self.engine.handle_event(Event::EndpointsChanged { complete: false, endpoints: [].into() });
         }
     }
 }
-
-/// How far one watch was read.
-struct WatchReader {
-    framer: ObjectFramer,
-    /// When the watch counts as silent.
-    deadline: Instant,
-    /// The core knows that discovery is in touch.
-    in_touch: bool,
-}
-
-impl WatchReader {
-    fn new() -> WatchReader {
-        WatchReader {
-            framer: ObjectFramer::default(),
-            deadline: Instant::now() + MAX_SILENCE,
-            in_touch: false,
-        }
-    }
-
-    fn renew_deadline(&mut self) {
-        self.deadline = Instant::now() + MAX_SILENCE;
-    }
-
-    async fn next_frame(&self, body: &mut Incoming) -> Result<Frame<Bytes>, WatchError> {
-        match timeout_at(self.deadline, body.frame()).await {
-            Ok(Some(Ok(frame))) => Ok(frame),
-            Ok(Some(Err(error))) => Err(WatchError::Connection(error)),
-            Ok(None) => Err(WatchError::Ended),
-            Err(_) => Err(WatchError::Silent),
-        }
-    }
-}
