--- a/limiter/src/discovery/error.rs
+++ b/limiter/src/discovery/error.rs
@@ -2,6 +2,7 @@
 
 use super::framing::FramingError;
 use super::request::WatchRequestError;
+use crate::observability::labels::WatchEndReason;
 
 /// Why a watch has ended.
 #[derive(Debug, thiserror::Error)]
@@ -31,15 +32,15 @@
 }
 
 impl WatchError {
-    /// Returns the label under which the end of the watch is counted.
-    pub fn kind(&self) -> &'static str {
+    /// Returns the reason under which the end of the watch is counted.
+    pub fn reason(&self) -> WatchEndReason {
         match self {
-            WatchError::Silent => "silent",
-            WatchError::Request(_) => "call failed",
-            WatchError::Connection(_) => "connection failed",
-            WatchError::Ended => "ended",
-            WatchError::InvalidList(_) | WatchError::Framing(_) => "unreadable",
-            WatchError::Superseded => "superseded",
+            WatchError::Silent => WatchEndReason::Silent,
+            WatchError::Request(_) => WatchEndReason::RequestFailed,
+            WatchError::Connection(_) => WatchEndReason::ConnectionFailed,
+            WatchError::Ended => WatchEndReason::EndedByDiscovery,
+            WatchError::InvalidList(_) | WatchError::Framing(_) => WatchEndReason::Unreadable,
+            WatchError::Superseded => WatchEndReason::Superseded,
         }
     }
 
--- a/limiter/src/discovery/watch.rs
+++ b/limiter/src/discovery/watch.rs
@@ -71,7 +71,9 @@
             let ended = self.watch_once().await;
             if self.target.newest() != self.source.number {
                 let address = self.source.address;
-                return tracing::info!("discovery: {}; {address} is no longer watched", ended.error);
+                let error = &ended.error;
+                tracing::info!(%address, %error, "endpoint watch superseded");
+                return;
             }
             self.engine.handle_event(Event::WatchFailed);
             let wait = self.next_wait(&ended);
@@ -123,10 +125,11 @@
 
     /// Logs why a watch has ended. An error that occurs many times a second is logged once.
     fn log_end(&mut self, ended: &EndedWatch) {
-        Metrics::count(&self.engine.metrics().watches_ended, ended.error.kind());
+        let reason = ended.error.reason();
+        Metrics::count(&self.engine.metrics().endpoint_watches_ended, reason);
         let error = ended.error.to_string();
         if ended.has_progressed || self.last_error.as_ref() != Some(&error) {
-            tracing::info!("discovery: {error}; watching again");
+            tracing::info!(%reason, %error, "endpoint watch failed, reconnecting");
         }
         self.last_error = Some(error);
     }
--- a/limiter/src/frontend/acceptor.rs
+++ b/limiter/src/frontend/acceptor.rs
@@ -101,7 +101,7 @@
     /// Cancelling only shortens the wait.
     async fn wait_for_resources(&mut self, error: &io::Error) {
         if !std::mem::replace(&mut self.is_failing, true) {
-            tracing::warn!("accept failed: {error}");
+            tracing::warn!(%error, "accept failed");
         }
         self.make_room();
         tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
@@ -120,7 +120,10 @@
                     retries += 1;
                     self.wait_for_resources(&error).await;
                 }
-                Err(error) => return tracing::error!("accept queue given up: {error}"),
+                Err(error) => {
+                    tracing::error!(%error, "accept queue abandoned");
+                    return;
+                }
             }
         }
     }
--- a/limiter/src/frontend/connection.rs
+++ b/limiter/src/frontend/connection.rs
@@ -20,6 +20,7 @@
 use super::response::ClientResponse;
 use crate::engine::Engine;
 use crate::net::Stream;
+use crate::observability::labels::{ClientCloseReason, Invariant};
 use crate::observability::metrics::Metrics;
 
 /// Adds a connection to the table and serves it in a task of its own. `queued_since` is the earliest time at
@@ -31,7 +32,7 @@
     queued_since: Option<Instant>,
 ) {
     stream.set_nodelay();
-    engine.metrics().client_connections.inc();
+    engine.metrics().client_connections_accepted.inc();
     let memory = connections.share_read_ahead_memory();
     let read_ahead = ReadAhead::new(stream, memory, engine.arrival_clock().clone(), queued_since);
     let task = ConnectionTask {
@@ -45,36 +46,6 @@
     });
 }
 
-/// Why a connection was closed.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum CloseReason {
-    /// All requests were answered, and one of both sides wanted no more of them.
-    Finished,
-    /// The client broke the connection, or sent bytes that are not HTTP.
-    ClientError,
-    /// The client closed the connection while its request was open.
-    ClientDisconnected,
-    /// The connection was overdue, or was evicted to make room for another one.
-    Aborted,
-}
-
-impl CloseReason {
-    /// Returns the label under which the reason is counted.
-    fn kind(self) -> &'static str {
-        match self {
-            CloseReason::Finished => "finished",
-            CloseReason::ClientError => "client error",
-            CloseReason::ClientDisconnected => "client left",
-            CloseReason::Aborted => "aborted",
-        }
-    }
-
-    /// Returns whether the limiter, rather than the client, decided to close the connection.
-    fn is_by_limiter(self) -> bool {
-        matches!(self, CloseReason::Finished | CloseReason::Aborted)
-    }
-}
-
 /// A connection as hyper serves it.
 type HttpConnection<S> = http1::Connection<TokioIo<ReadAheadStream>, S>;
 
@@ -91,7 +62,7 @@
     /// Awaited by the connection's task alone. When the future returns or is cancelled, it drops hyper's
     /// connection, and with that the handler of an open request: the engine then treats the client as
     /// disconnected.
-    async fn serve(&self, read_ahead: ReadAhead) -> CloseReason {
+    async fn serve(&self, read_ahead: ReadAhead) -> ClientCloseReason {
         let state = self.connection.state();
         let read_ahead = Rc::new(RefCell::new(read_ahead));
         let client = Rc::new(ClientSocket::new(read_ahead.clone(), state.clone()));
@@ -113,25 +84,25 @@
         &self,
         http: HttpConnection<impl RequestService>,
         read_ahead: &RefCell<ReadAhead>,
-    ) -> CloseReason {
+    ) -> ClientCloseReason {
         let state = self.connection.state();
         tokio::pin!(http);
         loop {
             tokio::select! {
                 biased;
                 result = &mut http => return match result {
-                    Ok(()) => CloseReason::Finished,
-                    Err(_) => CloseReason::ClientError,
+                    Ok(()) => ClientCloseReason::Finished,
+                    Err(_) => ClientCloseReason::ClientError,
                 },
                 () = state.close_signals().abort_requested() => {
                     // A request may have arrived since the abort was requested. The connection then stays
                     // open.
                     if state.facts(self.connections.is_shutting_down()).may_close() {
-                        return CloseReason::Aborted;
+                        return ClientCloseReason::Aborted;
                     }
                 }
                 () = poll_fn(|cx| read_ahead.borrow_mut().poll_disconnected(state, cx)) => {
-                    return CloseReason::ClientDisconnected;
+                    return ClientCloseReason::ClientDisconnected;
                 }
                 () = state.close_signals().shutdown_requested() => {
                     if may_shut_down_now(state, &read_ahead.borrow()) {
@@ -144,17 +115,17 @@
 
     /// Counts and logs the end of the connection. While a response is outstanding, only the client may end
     /// it.
-    fn record_close(&self, reason: CloseReason) {
+    fn record_close(&self, reason: ClientCloseReason) {
         let metrics = self.engine.metrics();
         let id = self.connection.id();
         let facts = self.connection.state().facts(false);
         let open_requests = facts.open_requests;
-        Metrics::count(&metrics.client_connections_closed, reason.kind());
-        tracing::debug!(connection = id, reason = reason.kind(), open_requests, "client connection closed");
-        if reason.is_by_limiter() && !facts.may_close() {
-            let detail =
-                format_args!("connection {id} closed with {open_requests} requests open: {reason:?}");
-            metrics.violation("no close with a request open", &detail);
+        Metrics::count(&metrics.client_connections_closed, reason);
+        tracing::debug!(connection = id, %reason, open_requests, "client connection closed");
+        let is_by_limiter = matches!(reason, ClientCloseReason::Finished | ClientCloseReason::Aborted);
+        if is_by_limiter && !facts.may_close() {
+            let detail = format_args!("connection {id} closed with {open_requests} requests open: {reason}");
+            metrics.record_violation(Invariant::NoCloseWithOpenRequest, &detail);
         }
     }
 }
--- a/limiter/src/frontend/request/body.rs
+++ b/limiter/src/frontend/request/body.rs
@@ -54,7 +54,7 @@
     match body::read_body(&mut body).await {
         Ok(received) => Ok(received),
         Err(BodyError::TooLong) => Err(discard(body).await),
-        Err(BodyError::BrokenOff(error)) => Err(RequestBodyError::Incomplete(error)),
+        Err(BodyError::Incomplete(error)) => Err(RequestBodyError::Incomplete(error)),
     }
 }
 
--- a/limiter/src/frontend/request/handler.rs
+++ b/limiter/src/frontend/request/handler.rs
@@ -16,6 +16,7 @@
 use crate::frontend::read_ahead::ClientSocket;
 use crate::frontend::response::{self, ClientResponse};
 use crate::messages::request::ForwardedRequest;
+use crate::observability::labels::InvalidRequestReason;
 use crate::observability::metrics::Metrics;
 
 /// A request has to arrive completely within this time of its first byte, however slowly the client sends it.
@@ -112,8 +113,9 @@
     fn reject(&self, error: &RequestError) -> ClientResponse {
         let engine = &self.engine;
         let status = error.status();
-        tracing::debug!(status = status.as_u16(), reason = %error, "bad request");
-        Metrics::count(&engine.metrics().bad_requests, status.canonical_reason().unwrap_or("other"));
+        let reason = InvalidRequestReason::from_status(status);
+        tracing::debug!(status = status.as_u16(), %reason, %error, "invalid request rejected");
+        Metrics::count(&engine.metrics().invalid_requests, reason);
         response::reject(status, error.to_string())
     }
 
--- a/limiter/src/frontend/shutdown.rs
+++ b/limiter/src/frontend/shutdown.rs
@@ -8,7 +8,7 @@
 use super::acceptor::Acceptor;
 use super::connections::Connections;
 use crate::runtime::duration;
-use crate::runtime::event_loop::read_all_that_arrived;
+use crate::runtime::event_loop::read_pending_input;
 
 /// How long new connections are accepted after the open ones were shut down. A client sends a request again,
 /// on a new connection, if the request raced with the end of its keep-alive connection.
@@ -58,7 +58,7 @@
         if !may_exit(&self.facts(connections)) {
             return false;
         }
-        read_all_that_arrived(connections.len()).await;
+        read_pending_input(connections.len()).await;
         may_exit(&self.facts(connections))
     }
 
@@ -81,7 +81,7 @@
     async fn shut_down_connections_if_due(&mut self, connections: &Connections) {
         let NextStep::ShutDownConnections = self.next_step else { return };
         if self.signalled_at.elapsed() >= self.serve_for {
-            read_all_that_arrived(connections.len()).await;
+            read_pending_input(connections.len()).await;
             connections.shut_down();
             self.next_step = NextStep::CloseListener { shut_down_at: Instant::now() };
         }
