--- a/limiter/src/config/mod.rs
+++ b/limiter/src/config/mod.rs
@@ -13,7 +13,7 @@
 use simulator_adapter::NameIndex;
 
 use crate::endpoints::EndpointList;
-use crate::net::through_shortage;
+use crate::net::retry_on_resource_exhaustion;
 pub use error::ConfigError;
 use error::ValueOrigin;
 use file::ConfigFile;
@@ -76,7 +76,7 @@
     /// # Errors
     /// The first value that is missing or cannot be used.
     pub fn from_environment() -> Result<Config, ConfigError> {
-        Config::read(&variable, |path| through_shortage(|| std::fs::read_to_string(path)))
+        Config::read(&variable, |path| retry_on_resource_exhaustion(|| std::fs::read_to_string(path)))
     }
 
     /// Reads the file again. `ROUTER_DISCOVERY` tells of the start: only the file can name another address.
--- a/limiter/src/frontend/connections.rs
+++ b/limiter/src/frontend/connections.rs
@@ -108,11 +108,12 @@
     ///
     /// - A connection that is idle between two requests, with nothing read ahead, is closed for reading and
     ///   writing by hyper (1.12, `Conn::disable_keep_alive`) within the call itself, whatever the kernel has
-    ///   received for it. Nothing of that is read, let alone forwarded, and the client sends the request again.
+    ///   received for it. Nothing of that is read, let alone forwarded, and the client sends the request
+    ///   again.
     /// - A new connection of which nothing has been read is closed in the same way.
-    /// - On any other connection a request is open, read ahead, or partially read. All requests that were read
-    ///   are answered completely, the last one with `Connection: close`, and nothing after it is read. A
-    ///   connection whose response was already being written is examined again when the response has been
+    /// - On any other connection a request is open, read ahead, or partially read. All requests that were
+    ///   read are answered completely, the last one with `Connection: close`, and nothing after it is read.
+    ///   A connection whose response was already being written is examined again when the response has been
     ///   written.
     ///
     /// So no request is read whose response could not be written.
--- a/limiter/src/gossip.rs
+++ b/limiter/src/gossip.rs
@@ -9,55 +9,62 @@
 use crate::engine::{Engine, GossipTransport};
 use crate::net::DatagramSocket;
 
-/// Longest datagram that is sent or accepted; at least the longest message of the core.
+/// Longest datagram that is sent or accepted, in bytes; at least the longest message of the core.
 const MAX_DATAGRAM_BYTES: usize = 256;
-/// Pause after an error of the socket, so that one that persists does not take all of the processor's time.
+/// Pause after an error of the socket, so that a persistent error does not occupy the processor.
 const ERROR_PAUSE: Duration = Duration::from_millis(1);
 
 /// Sends gossip to the other limiters.
 pub struct GossipSender {
+    /// `None` if the configuration names no address for gossip.
     socket: Option<Rc<DatagramSocket>>,
+    /// Addresses of the limiters by position.
     peers: Vec<SocketAddr>,
 }
 
 impl GossipSender {
-    /// Sends through `socket`, or nothing without one; `peers` are the limiters' addresses by position.
+    /// Creates a sender that sends through `socket`, or sends nothing without one. `peers` are the addresses
+    /// of the limiters by position.
     pub fn new(socket: Option<Rc<DatagramSocket>>, peers: Vec<SocketAddr>) -> GossipSender {
         GossipSender { socket, peers }
     }
 }
 
 impl GossipTransport for GossipSender {
-    /// A datagram that finds no room in the socket's buffer is lost, as any may be.
+    /// Sends a datagram, which is lost if the socket's buffer is full: any datagram may be lost on its way.
     fn send(&self, to: u32, body: &[u8]) {
-        let address = self.peers.get(to as usize);
-        if let (Some(socket), Some(address), true) = (&self.socket, address, body.len() <= MAX_DATAGRAM_BYTES)
-        {
+        let Some(socket) = &self.socket else { return };
+        let Some(address) = self.peers.get(to as usize) else { return };
+        if body.len() <= MAX_DATAGRAM_BYTES {
             let _ = socket.try_send_to(body, *address);
         }
     }
 }
 
-/// Passes datagrams of peers to the core. Never returns; ignores unknown senders and oversized datagrams. Cancelling
-/// loses none that was passed on.
+/// Passes the datagrams of peers to the core, forever. Ignores unknown senders and oversized datagrams.
+///
+/// Cancelling loses the datagrams that have not been received yet.
 pub async fn receive(engine: Rc<Engine>, socket: Rc<DatagramSocket>) {
+    // One byte more than the longest datagram, so that a longer one is recognized.
     let mut buffer = [0u8; MAX_DATAGRAM_BYTES + 1];
     loop {
         match socket.receive_from(&mut buffer).await {
-            Ok((length, sender)) if length <= MAX_DATAGRAM_BYTES => {
-                if let Some(from) = position_of(sender, &engine.config().peers) {
+            Ok(received) if received.length <= MAX_DATAGRAM_BYTES => {
+                if let Some(from) = position_of(received.sender, &engine.config().peers) {
                     engine.metrics().gossip_messages_received.inc();
-                    engine.handle_event(Event::GossipReceived { from, body: buffer[..length].to_vec() });
+                    let body = buffer[..received.length].to_vec();
+                    engine.handle_event(Event::GossipReceived { from, body });
                 }
             }
             Ok(_) => {}
-            // An unreachable peer shows up as an error of the next receive: nothing is lost by going on.
+            // An unreachable peer causes an error of the next receive. No datagram is lost by it.
             Err(_) => tokio::time::sleep(ERROR_PAUSE).await,
         }
     }
 }
 
-fn position_of(sender: SocketAddr, peers: &[SocketAddr]) -> Option<u32> {
-    let position = peers.iter().position(|peer| *peer == sender)?;
+/// Returns the position of the limiter that has this address.
+fn position_of(address: SocketAddr, peers: &[SocketAddr]) -> Option<u32> {
+    let position = peers.iter().position(|peer| *peer == address)?;
     u32::try_from(position).ok()
 }
--- a/limiter/src/main.rs
+++ b/limiter/src/main.rs
@@ -27,7 +27,7 @@
 use discovery::WatchTarget;
 use engine::Engine;
 use gossip::GossipSender;
-use net::{through_shortage, DatagramSocket, Listener};
+use net::{retry_on_resource_exhaustion, DatagramSocket, Listener};
 use observability::logging;
 use runtime::signals::{SignalError, Signals};
 use upstream::Servers;
@@ -57,7 +57,7 @@
 
 fn main() -> ExitCode {
     let build = || Builder::new_current_thread().enable_all().build_local(LocalOptions::default());
-    let runtime = through_shortage(build);
+    let runtime = retry_on_resource_exhaustion(build);
     match runtime.map_err(StartError::Runtime).and_then(|runtime| runtime.block_on(run())) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
@@ -74,7 +74,7 @@
     let config = Config::from_environment()?;
     let _log = logging::start(config.name.clone());
     let address = config.listen;
-    let listener = through_shortage(|| Listener::bind(address, ACCEPT_QUEUE))
+    let listener = retry_on_resource_exhaustion(|| Listener::bind(address, ACCEPT_QUEUE))
         .map_err(|error| StartError::Listen { address, error })?;
     let gossip_socket = config.peer_listen.map(bind_gossip).transpose()?;
     let servers = Servers::new(&config);
@@ -108,7 +108,7 @@
 }
 
 fn bind_gossip(address: SocketAddr) -> Result<Rc<DatagramSocket>, StartError> {
-    let socket = through_shortage(|| DatagramSocket::bind(address))
+    let socket = retry_on_resource_exhaustion(|| DatagramSocket::bind(address))
         .map_err(|error| StartError::Gossip { address, error })?;
     Ok(Rc::new(socket))
 }
--- a/limiter/src/net/datagram.rs
+++ b/limiter/src/net/datagram.rs
@@ -5,7 +5,7 @@
 
 use tokio::net::UdpSocket;
 
-use super::uninterrupted;
+use super::retry::retry_on_interrupt;
 
 /// A UDP socket.
 pub struct DatagramSocket {
@@ -13,34 +13,46 @@
 }
 
 impl DatagramSocket {
-    /// A socket with this address.
+    /// Creates a socket and binds it to an address.
     ///
     /// # Errors
-    /// As `socket(2)` and `bind(2)`.
+    /// Those of `socket(2)` and `bind(2)`.
     pub fn bind(address: SocketAddr) -> io::Result<DatagramSocket> {
         let socket = std::net::UdpSocket::bind(address)?;
         socket.set_nonblocking(true)?;
         Ok(DatagramSocket { socket: UdpSocket::from_std(socket)? })
     }
 
-    /// The next datagram and its sender; what does not fit into the buffer is cut off. Cancelling loses none.
+    /// Receives the next datagram; the part that does not fit into the buffer is dropped. Returns its length
+    /// and sender. Cancelling loses no datagram.
     ///
     /// # Errors
-    /// As `recvfrom(2)`.
-    pub async fn receive_from(&self, buffer: &mut [u8]) -> io::Result<(usize, SocketAddr)> {
+    /// Those of `recvfrom(2)`, except for interruptions.
+    pub async fn receive_from(&self, buffer: &mut [u8]) -> io::Result<ReceivedDatagram> {
         loop {
             match self.socket.recv_from(buffer).await {
+                Ok((length, sender)) => return Ok(ReceivedDatagram { length, sender }),
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
-                received => return received,
+                Err(error) => return Err(error),
             }
         }
     }
 
-    /// Sends a datagram, if there is room for it at once.
+    /// Sends a datagram, if the socket's buffer has space for it.
     ///
     /// # Errors
-    /// As `sendto(2)`.
+    /// Those of `sendto(2)`, except for interruptions.
     pub fn try_send_to(&self, data: &[u8], to: SocketAddr) -> io::Result<()> {
-        uninterrupted(|| self.socket.try_send_to(data, to)).map(|_| ())
+        retry_on_interrupt(|| self.socket.try_send_to(data, to))?;
+        Ok(())
     }
 }
+
+/// A datagram whose data is in the buffer that was passed for it.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct ReceivedDatagram {
+    /// Number of bytes in the buffer.
+    pub length: usize,
+    /// Address of the sender.
+    pub sender: SocketAddr,
+}
--- a/limiter/src/net/stream.rs
+++ b/limiter/src/net/stream.rs
@@ -11,32 +11,30 @@
 use tokio::net::TcpStream;
 use tokio::task::yield_now;
 
-use super::uninterrupted;
+use super::errors::is_connect_in_progress;
+use super::retry::retry_on_interrupt;
 
-const EISCONN: i32 = 106;
-const EALREADY: i32 = 114;
-const EINPROGRESS: i32 = 115;
-
-/// So many bytes may be read without a pause, those of a body of the longest size: then others have their turn.
-const MAX_BYTES_AT_ONCE: usize = 64 << 10;
+/// Most bytes that are read from one connection without a pause, in which other tasks run. This is the length
+/// of the longest body.
+const MAX_BYTES_WITHOUT_PAUSE: usize = 64 << 10;
 
 /// A TCP connection.
 pub struct Stream {
     socket: TcpStream,
-    /// Bytes read since the last pause.
-    bytes_at_once: usize,
+    /// Number of bytes read since the last pause.
+    bytes_since_pause: usize,
 }
 
 impl Stream {
-    /// Takes over a connected socket.
+    /// Wraps a connected socket.
     pub(super) fn new(socket: TcpStream) -> Stream {
-        Stream { socket, bytes_at_once: 0 }
+        Stream { socket, bytes_since_pause: 0 }
     }
 
-    /// Connects to an address. Dropping the future abandons the connect.
+    /// Connects to an address. Cancelling abandons the connect and closes the socket.
     ///
     /// # Errors
-    /// As `socket(2)` and `connect(2)`; an interruption is none.
+    /// Those of `socket(2)` and `connect(2)`, except for interruptions.
     pub async fn connect(address: SocketAddr) -> io::Result<Stream> {
         let socket = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
         socket.set_nonblocking(true)?;
@@ -46,30 +44,31 @@
         Ok(stream)
     }
 
-    /// Has small writes sent at once.
+    /// Makes the system send small writes at once.
     pub fn set_nodelay(&self) {
-        // Without it they are sent all the same, only later.
+        // If this fails, small writes are only sent later.
         let _ = self.socket.set_nodelay(true);
     }
 
-    /// Reads what is there, without waiting and without registering for more.
+    /// Reads what has arrived, without waiting and without registering a waker.
     ///
     /// # Errors
-    /// `WouldBlock` if nothing is there; else as `recv(2)`.
+    /// `WouldBlock` if nothing has arrived; otherwise those of `recv(2)`.
     pub fn try_read(&self, buffer: &mut [u8]) -> io::Result<usize> {
-        uninterrupted(|| (&*SockRef::from(&self.socket)).read(buffer))
+        retry_on_interrupt(|| (&*SockRef::from(&self.socket)).read(buffer))
     }
 
-    /// Makes a call that reads, and again each time that the socket is ready until it does not block.
+    /// Makes a call that reads, and repeats it each time that the socket is ready until the call does not
+    /// block.
     ///
-    /// The first call looks at the socket itself: after a hold-up, tasks may run before the I/O driver has told tokio what
-    /// has come meanwhile.
+    /// The first call is made whether or not tokio considers the socket ready: after a stall of the process,
+    /// tasks may run before the I/O driver has notified tokio of what arrived during the stall.
     fn poll_read_call<R>(
         &self,
         cx: &mut Context<'_>,
         mut call: impl FnMut(&Socket) -> io::Result<R>,
     ) -> Poll<io::Result<R>> {
-        match uninterrupted(|| call(&SockRef::from(&self.socket))) {
+        match retry_on_interrupt(|| call(&SockRef::from(&self.socket))) {
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
             result => return Poll::Ready(result),
         }
@@ -82,7 +81,7 @@
         }
     }
 
-    /// The same for a call that writes.
+    /// Makes a call that writes each time that the socket is ready, until the call does not block.
     fn poll_write_call<R>(
         &self,
         cx: &mut Context<'_>,
@@ -97,21 +96,25 @@
         }
     }
 
-    /// Makes a call on the socket itself. tokio takes the socket to be ready until the call would block.
+    /// Makes a call on the socket itself. tokio considers the socket ready until the call would block.
     fn call<R>(&self, interest: Interest, call: &mut impl FnMut(&Socket) -> io::Result<R>) -> io::Result<R> {
-        self.socket.try_io(interest, || uninterrupted(|| call(&SockRef::from(&self.socket))))
+        self.socket.try_io(interest, || retry_on_interrupt(|| call(&SockRef::from(&self.socket))))
     }
 }
 
-/// Begins to connect. A connect that is interrupted goes on in the background; the next call tells how far it is.
+/// Begins to connect. A connect that is interrupted continues in the background; the repeated call then says
+/// that it is in progress or has succeeded.
 fn begin_connect(socket: &Socket, address: SocketAddr) -> io::Result<()> {
-    match uninterrupted(|| socket.connect(&address.into())) {
-        Err(error) if !matches!(error.raw_os_error(), Some(EINPROGRESS | EALREADY | EISCONN)) => Err(error),
-        _ => Ok(()),
+    match retry_on_interrupt(|| socket.connect(&address.into())) {
+        Err(error) if is_connect_in_progress(&error) => Ok(()),
+        result => result,
     }
 }
 
-/// How a connect has ended, of a socket that the system reports as writable; `WouldBlock` if it has not ended.
+/// Returns how a connect has ended, once the system reports the socket as writable.
+///
+/// # Errors
+/// `WouldBlock` if the connect has not ended; otherwise the reason why it failed.
 fn connect_result(socket: &Socket) -> io::Result<()> {
     if let Some(error) = socket.take_error()? {
         return Err(error);
@@ -128,16 +131,17 @@
         cx: &mut Context<'_>,
         buffer: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        if self.bytes_at_once > MAX_BYTES_AT_ONCE {
-            // One who sends without end must not hold the others up: the I/O driver runs before this task goes on.
-            self.bytes_at_once = 0;
+        if self.bytes_since_pause > MAX_BYTES_WITHOUT_PAUSE {
+            // A peer that sends without end must not delay other tasks: the I/O driver runs before this task
+            // continues.
+            self.bytes_since_pause = 0;
             let _ = pin!(yield_now()).poll(cx);
             return Poll::Pending;
         }
         let read = self.poll_read_call(cx, |mut socket| socket.read(buffer.initialize_unfilled()));
         match &read {
-            Poll::Ready(Ok(length)) => self.bytes_at_once += length,
-            _ => self.bytes_at_once = 0,
+            Poll::Ready(Ok(length)) => self.bytes_since_pause += length,
+            _ => self.bytes_since_pause = 0,
         }
         read.map_ok(|length| buffer.advance(length))
     }
--- a/limiter/src/net/stream/tests.rs
+++ b/limiter/src/net/stream/tests.rs
@@ -1,3 +1,5 @@
+//! Reads before the I/O driver has run.
+
 use std::future::poll_fn;
 use std::io::Write;
 use std::net::TcpListener;
@@ -9,7 +11,7 @@
 
 use super::Stream;
 
-/// Bytes that a poll reads; none if it is pending.
+/// Returns the bytes that one poll reads, or `None` if it is pending.
 fn poll_read(stream: &mut Stream, cx: &mut Context<'_>) -> Option<Vec<u8>> {
     let mut buffer = [0; 64];
     let mut buffer = ReadBuf::new(&mut buffer);
@@ -19,10 +21,10 @@
     }
 }
 
-/// After a hold-up a task may run before the I/O driver does: a kept connection on which a second response has come must
-/// not look as if it had not.
+/// After a stall of the process, a task may run before the I/O driver does. A pooled connection on which a
+/// second response has arrived must not look as if nothing had arrived.
 #[test]
-fn what_has_come_is_read_though_the_io_driver_has_not_run_since() {
+fn bytes_that_have_arrived_are_read_before_the_io_driver_has_run() {
     let runtime = Builder::new_current_thread().enable_all().build().expect("a runtime");
     runtime.block_on(async {
         let listener = TcpListener::bind("127.0.0.1:0").expect("bind");
--- a/limiter/src/runtime/signals.rs
+++ b/limiter/src/runtime/signals.rs
@@ -13,7 +13,7 @@
 use tokio::sync::Notify;
 use tokio::time::timeout;
 
-use crate::net::through_shortage;
+use crate::net::retry_on_resource_exhaustion;
 
 /// A signal is noticed within this time, also where the write that should wake the program up fails: the handler cannot
 /// repeat it.
@@ -77,7 +77,7 @@
     /// The system does not allow it.
     pub fn install() -> Result<Signals, SignalError> {
         let failed = |error| SignalError { name: "signals", error };
-        let (receiver, sender) = through_shortage(StdUnixStream::pair).map_err(failed)?;
+        let (receiver, sender) = retry_on_resource_exhaustion(StdUnixStream::pair).map_err(failed)?;
         receiver.set_nonblocking(true).map_err(failed)?;
         Ok(Signals {
             wake_ups: UnixStream::from_std(receiver).map_err(failed)?,
--- a/limiter/src/upstream/connection.rs
+++ b/limiter/src/upstream/connection.rs
@@ -1,4 +1,4 @@
-//! A connection to a server.
+//! A connection to a server, and the exchanges on it.
 
 use std::future::Future;
 use std::io;
@@ -15,20 +15,20 @@
 
 use super::permit::ConnectionPermit;
 use crate::messages::body::MAX_BODY_BYTES;
-use crate::net::{is_local, Stream};
+use crate::net::{is_local_failure, Stream};
 use crate::observability::labels::ServerConnectionOutcome;
 
-/// The half of a connection that takes requests.
+/// The half of a connection that accepts requests.
 pub type RequestSender = SendRequest<Full<Bytes>>;
 
-/// A connection with the future that does its input and output. No task owns that future: it makes progress only in
-/// [`PooledConnection::drive`], and dropping the connection closes the socket at once.
+/// A connection, with the future that does its input and output. No task owns that future: it makes progress
+/// only in [`PooledConnection::drive`], and dropping the connection closes the socket at once.
 pub struct PooledConnection {
     sender: RequestSender,
     driver: Connection<TokioIo<Stream>, Full<Bytes>>,
-    /// The driver has completed and must not be polled again.
+    /// The driver has completed, and must not be polled again.
     is_closed: bool,
-    /// Given back last, when the socket is closed.
+    /// Returned when the socket has been closed: fields are dropped in the order of their declaration.
     _permit: ConnectionPermit,
 }
 
@@ -38,18 +38,18 @@
     /// As many connections are open as may be, and none of them is idle.
     #[error("no more connections may be open")]
     NoPermit,
-    /// This host lacks descriptors, ports or memory.
+    /// The descriptors, ports or memory of this host are exhausted.
     #[error("connect failed: {0}")]
-    LocalResources(io::Error),
+    LocalResources(#[source] io::Error),
     /// The server's host refused the connection or cannot be reached.
     #[error("connect failed: {0}")]
-    Unreachable(io::Error),
+    Unreachable(#[source] io::Error),
     /// The server's host did not answer in time.
     #[error("connect timed out")]
     TimedOut,
-    /// The connection is of no use for HTTP.
+    /// The connection cannot be used for HTTP.
     #[error("HTTP handshake failed: {0}")]
-    Handshake(hyper::Error),
+    Handshake(#[source] hyper::Error),
 }
 
 impl ConnectError {
@@ -66,7 +66,7 @@
 }
 
 impl PooledConnection {
-    /// Connects to a server. Dropping the future abandons the connect and gives the permit back.
+    /// Connects to a server. Cancelling abandons the connect and returns the permit.
     ///
     /// # Errors
     /// [`ConnectError`], but never [`ConnectError::NoPermit`].
@@ -77,7 +77,7 @@
     ) -> Result<PooledConnection, ConnectError> {
         let stream = match timeout(connect_timeout, Stream::connect(address)).await {
             Ok(Ok(stream)) => stream,
-            Ok(Err(error)) if is_local(&error) => return Err(ConnectError::LocalResources(error)),
+            Ok(Err(error)) if is_local_failure(&error) => return Err(ConnectError::LocalResources(error)),
             Ok(Err(error)) => return Err(ConnectError::Unreachable(error)),
             Err(_) => return Err(ConnectError::TimedOut),
         };
@@ -87,7 +87,8 @@
         Ok(PooledConnection { sender, driver, is_closed: false, _permit: permit })
     }
 
-    /// Whether the connection can take a request. Looks without waiting: sees what has arrived by now.
+    /// Returns whether the connection can carry a request. Polls the connection once, without waiting, so
+    /// that anything the server has sent or closed by now is seen.
     pub fn is_alive(&mut self) -> bool {
         if self.is_closed {
             return false;
@@ -99,9 +100,10 @@
 
     /// Runs an exchange while the connection does its input and output.
     ///
-    /// The exchange is polled first, so that a response that is complete is returned even if the connection ends with
-    /// it. When the connection ends early, the exchange goes on until it has seen that. Dropping the future leaves the
-    /// exchange unfinished: the connection must be dropped with it.
+    /// The exchange is polled first, so that a complete response is returned even if the connection ends with
+    /// it. If the connection ends early, the exchange continues until it has noticed that.
+    ///
+    /// Cancelling leaves the exchange incomplete: the connection must then be dropped, too.
     pub async fn drive<T>(&mut self, exchange: impl AsyncFnOnce(&mut RequestSender) -> T) -> T {
         let PooledConnection { sender, driver, is_closed, .. } = self;
         let exchange = exchange(sender);
--- /dev/null
+++ b/limiter/src/upstream/response.rs
@@ -0,0 +1,55 @@
+//! What a server's response means for the core.
+
+use bytes::Bytes;
+use hyper::header::{HeaderMap, HeaderName};
+use hyper::StatusCode;
+use limiter_core::Outcome;
+
+use crate::messages::attempt::AttemptResult;
+
+/// In an error response: whether the server did not process the request.
+const UNPROCESSED: HeaderName = HeaderName::from_static("x-unprocessed");
+/// Value of [`UNPROCESSED`] if the request was not processed.
+const UNPROCESSED_TRUE: &str = "1";
+/// In the first successful response to a request: the quota units that the request really cost.
+const ACTUAL_COST: HeaderName = HeaderName::from_static("x-true-cost");
+
+/// A response that was read to its end.
+pub struct ServerResponse {
+    /// The status.
+    pub status: StatusCode,
+    /// The header fields.
+    pub headers: HeaderMap,
+    /// The complete body.
+    pub body: Bytes,
+}
+
+impl ServerResponse {
+    /// Returns the result of the attempt that received this response.
+    pub fn into_result(self, max_request_units: f64) -> AttemptResult {
+        match self.status {
+            StatusCode::OK => AttemptResult {
+                outcome: Outcome::Ok,
+                actual_units: self.actual_units(max_request_units),
+                body: Some(self.body),
+            },
+            StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if self.is_unprocessed() => {
+                Outcome::Rejected.into()
+            }
+            _ => Outcome::Error.into(),
+        }
+    }
+
+    /// Returns whether the server states that it did not process the request.
+    fn is_unprocessed(&self) -> bool {
+        self.headers.get(UNPROCESSED).is_some_and(|value| value == UNPROCESSED_TRUE)
+    }
+
+    /// Returns the quota units that the request really cost, if the response states a cost that a request can
+    /// have.
+    fn actual_units(&self, max_request_units: f64) -> Option<f64> {
+        let text = self.headers.get(ACTUAL_COST)?.to_str().ok()?;
+        let units: f64 = text.trim().parse().ok()?;
+        (units > 0.0 && units <= max_request_units).then_some(units)
+    }
+}
