--- a/limiter/src/discovery/error.rs
+++ b/limiter/src/discovery/error.rs
@@ -9,7 +9,7 @@
 pub enum WatchError {
     /// Discovery has not answered the request in time, or the watch was silent for
     /// [`super::policy::MAX_SILENCE`].
-    #[error("nothing came in time")]
+    #[error("no response, list or keep-alive arrived in time")]
     Silent,
     /// The request failed for another reason.
     #[error(transparent)]
--- /dev/null
+++ b/limiter/src/endpoints/entry.rs
@@ -0,0 +1,87 @@
+//! Reads a single entry of the endpoint list.
+
+use std::net::{IpAddr, Ipv4Addr, SocketAddr};
+
+use limiter_core::{Endpoint, EndpointState, Millis};
+use serde::de::{DeserializeOwned, Deserializer};
+use serde::Deserialize;
+use serde_json::Value;
+
+use super::ResolvedEndpoint;
+
+/// Address of a server that has none in the list. Only servers that accept no requests may have none.
+const NO_ADDRESS: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::UNSPECIFIED), 0);
+/// Index of a zone that the settings do not name. No limiter is in this zone.
+const FOREIGN_ZONE: u32 = u32::MAX;
+/// Weight of a server that has none in the list.
+const DEFAULT_WEIGHT: f64 = 1.0;
+/// Name of the state of a server that accepts requests.
+const SERVING: &str = "active";
+/// Name of the state of a server that has been removed. A server in any other state is draining.
+const REMOVED: &str = "left";
+
+/// An entry as discovery writes it. A field that cannot be read counts as absent.
+#[derive(Deserialize)]
+struct Entry {
+    #[serde(default, deserialize_with = "lenient")]
+    id: Option<String>,
+    #[serde(default, deserialize_with = "lenient")]
+    state: Option<String>,
+    #[serde(rename = "addr", default, deserialize_with = "lenient")]
+    address: Option<String>,
+    #[serde(default, deserialize_with = "lenient")]
+    zone: Option<String>,
+    #[serde(default, deserialize_with = "lenient")]
+    cell: Option<u32>,
+    #[serde(default, deserialize_with = "lenient")]
+    weight: Option<f64>,
+    #[serde(rename = "started_ms", default, deserialize_with = "lenient")]
+    started_at: Option<Millis>,
+}
+
+/// Deserializes the value of a field, or `None` if the value is not of the field's type.
+fn lenient<'de, D, T>(deserializer: D) -> Result<Option<T>, D::Error>
+where
+    D: Deserializer<'de>,
+    T: DeserializeOwned,
+{
+    let value = Value::deserialize(deserializer)?;
+    Ok(serde_json::from_value(value).ok())
+}
+
+/// Reads an entry. Returns `None` if the id or the state is missing, or the address of a serving server. The
+/// removal of a server needs no more than the id and the state, so that it is never missed.
+pub fn resolve(value: &Value, zone_index: impl Fn(&str) -> Option<u32>) -> Option<ResolvedEndpoint> {
+    // serde would accept an array, with the fields in their order.
+    if !value.is_object() {
+        return None;
+    }
+    let entry = Entry::deserialize(value).ok()?;
+    let state = parse_state(&entry.state?);
+    let address = entry.address.and_then(|address| address.parse().ok());
+    let address = match state {
+        EndpointState::Serving => address?,
+        _ => address.unwrap_or(NO_ADDRESS),
+    };
+    let endpoint = Endpoint {
+        server: entry.id?.into(),
+        zone: entry.zone.and_then(|zone| zone_index(&zone)).unwrap_or(FOREIGN_ZONE),
+        cell: entry.cell.unwrap_or(0),
+        state,
+        weight: entry.weight.unwrap_or(DEFAULT_WEIGHT),
+        started_at: entry.started_at.unwrap_or(0.0),
+    };
+    Some(ResolvedEndpoint { endpoint, address })
+}
+
+/// Returns the state of a server by its name. No new request may be sent to a server in an unknown state.
+fn parse_state(name: &str) -> EndpointState {
+    match name {
+        SERVING => EndpointState::Serving,
+        REMOVED => EndpointState::Removed,
+        _ => EndpointState::Draining,
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/limiter/src/endpoints/mod.rs
@@ -0,0 +1,81 @@
+//! The endpoint list in discovery's JSON form, and its translation into endpoints with addresses.
+//!
+//! [`entry`] reads a single entry of the list.
+
+mod entry;
+
+use std::collections::HashSet;
+use std::net::SocketAddr;
+
+use limiter_core::{Endpoint, EndpointState, ServerId};
+use serde::Deserialize;
+use serde_json::Value;
+use simulator_adapter::NameIndex;
+
+/// A list of servers, or of changes to one, as discovery writes it.
+#[derive(Deserialize, Clone)]
+pub struct EndpointList {
+    /// Version of the list, which grows with each change.
+    pub version: u64,
+    #[serde(rename = "full", default)]
+    complete: bool,
+    #[serde(rename = "servers")]
+    entries: Vec<Value>,
+}
+
+/// A server and its address.
+#[derive(Clone)]
+pub struct ResolvedEndpoint {
+    /// The server as the core knows it.
+    pub endpoint: Endpoint,
+    /// The address on which the server listens.
+    pub address: SocketAddr,
+}
+
+/// A list of servers, or of changes to one, whose entries have been read.
+#[derive(Clone)]
+pub struct EndpointUpdate {
+    /// The update names all servers, not only those that changed.
+    pub complete: bool,
+    /// The servers.
+    pub endpoints: Vec<ResolvedEndpoint>,
+    /// Number of entries that could not be read and are left out.
+    pub invalid_entries: usize,
+}
+
+impl EndpointList {
+    /// Reads the entries of the list, and resolves the names of zones. An entry that cannot be read does not
+    /// affect the others.
+    pub fn resolve(&self, names: &NameIndex) -> EndpointUpdate {
+        let zone_index = |zone: &str| names.zone(zone).ok();
+        let mut endpoints = Vec::with_capacity(self.entries.len());
+        let mut invalid_entries = 0;
+        for entry in &self.entries {
+            match entry::resolve(entry, zone_index) {
+                Some(endpoint) => endpoints.push(endpoint),
+                None => invalid_entries += 1,
+            }
+        }
+        EndpointUpdate { complete: self.complete, endpoints, invalid_entries }
+    }
+}
+
+impl EndpointUpdate {
+    /// Returns the complete list that results from applying these changes to an earlier list. Servers that
+    /// did not change come first.
+    pub fn applied_to(self, earlier: EndpointUpdate) -> EndpointUpdate {
+        if self.complete {
+            return self;
+        }
+        let changed: HashSet<ServerId> =
+            self.endpoints.iter().map(|changed| changed.endpoint.server.clone()).collect();
+        let mut endpoints = earlier.endpoints;
+        endpoints.retain(|earlier| !changed.contains(&earlier.endpoint.server));
+        for changed in self.endpoints {
+            if changed.endpoint.state != EndpointState::Removed {
+                endpoints.push(changed);
+            }
+        }
+        EndpointUpdate { complete: true, endpoints, invalid_entries: self.invalid_entries }
+    }
+}
--- a/limiter/src/upstream/attempt.rs
+++ b/limiter/src/upstream/attempt.rs
@@ -27,11 +27,11 @@
 #[derive(Debug, thiserror::Error)]
 pub enum AttemptError {
     /// The server accepts no requests.
-    #[error("the server takes no requests")]
+    #[error("the server accepts no requests")]
     NotServing,
     /// The rules no longer allow the attempt. During the wait for a connection the server stopped serving,
     /// the client disconnected, or the time to begin passed.
-    #[error("the attempt came too late: {0}")]
+    #[error("the attempt is no longer allowed: {0}")]
     Refused(#[source] AttemptDenied),
     /// The parts of the request do not form a valid head.
     #[error("the request cannot be written: {0}")]
