--- a/limiter/src/discovery/backoff.rs
+++ b/limiter/src/discovery/backoff.rs
@@ -31,8 +31,8 @@
         self.current.mul_f64(self.rng.f64())
     }
 
-    /// Returns the wait after a watch that was of no use, with equal jitter. `elapsed`, the time since the
-    /// request, counts towards the longest time from one request to the next.
+    /// Returns the wait after a watch that failed or ended too soon, with equal jitter. `elapsed`, the time
+    /// since the request, counts towards the longest time from one request to the next.
     pub fn after_failure(&mut self, elapsed: Duration) -> Duration {
         self.current = (self.current * GROWTH_FACTOR).min(self.policy.max_backoff);
         let longest = self.current.min(self.policy.max_backoff.saturating_sub(elapsed));
--- a/limiter/src/discovery/backoff/tests.rs
+++ b/limiter/src/discovery/backoff/tests.rs
@@ -7,7 +7,7 @@
 use crate::discovery::test_support::subscribed_policy;
 
 /// Returns the largest number of requests of a fleet that fall into one second, when discovery drops all
-/// watches at once and answers nobody afterwards.
+/// watches at once and answers no request afterwards.
 fn max_requests_in_a_second(limiters: u32) -> usize {
     let mut sent_at = Vec::new();
     for limiter in 0..limiters {
--- a/limiter/src/discovery/in_flight.rs
+++ b/limiter/src/discovery/in_flight.rs
@@ -39,7 +39,7 @@
     }
 
     /// Requests a watch on a source, from the last version of its list that was read. A response to the slow
-    /// request is as good. After a response every other request is dropped.
+    /// request counts as well. After a response every other request is dropped.
     ///
     /// Cancelling drops the new request, and leaves the slow one in flight.
     ///
--- a/limiter/src/discovery/mod.rs
+++ b/limiter/src/discovery/mod.rs
@@ -1,7 +1,7 @@
 //! The watch on the endpoint list at discovery.
 //!
 //! A reload of the configuration may name another address of discovery. Each address that was ever named is a
-//! source with a number and a watch of its own. Versions of one source's list say nothing about the list of
+//! separate source, with a number and a watch. Versions of one source's list say nothing about the list of
 //! another source.
 //!
 //! Modules, in the order in which to read them; each one uses only those listed after it:
@@ -42,7 +42,7 @@
 /// After a change of the address, the watch on the old source continues until the new source has announced a
 /// list. No announcement of the old source is lost until then; later ones are ignored.
 ///
-/// Each watch is a task of its own that ends by itself. Cancelling this future only prevents new watches.
+/// Each watch is a separate task that ends by itself. Cancelling this future only prevents new watches.
 pub async fn run(engine: Rc<Engine>, target: Rc<WatchTarget>) {
     let mut known_version = engine.config().known_endpoints.as_ref().map(|known| known.version);
     let mut watched = None;
--- a/limiter/src/discovery/policy.rs
+++ b/limiter/src/discovery/policy.rs
@@ -26,7 +26,7 @@
 const SUBSCRIBED_MIN_INITIAL_BACKOFF: Duration = Duration::from_millis(50);
 /// Part of the first backoff's bound for each limiter of a fleet. One discovery serves the whole fleet. When
 /// it drops or fails all watches at once and the limiters reconnect in step, each request queues among
-/// requests that nobody awaits any more, and no watch is ever opened.
+/// requests that have timed out, and no watch is ever opened.
 const SUBSCRIBED_INITIAL_BACKOFF_PER_LIMITER: Duration = Duration::from_millis(20);
 /// Largest bound of the first backoff, which [`MAX_SILENCE`] leaves time for.
 const SUBSCRIBED_MAX_INITIAL_BACKOFF: Duration = Duration::from_secs(2);
--- a/limiter/src/discovery/test_support.rs
+++ b/limiter/src/discovery/test_support.rs
@@ -4,7 +4,7 @@
 
 use super::policy::WatchPolicy;
 
-/// Returns the policy of one of so many limiters that subscribe to the list.
+/// Returns the policy of one limiter in a fleet of this size, which subscribes to the list.
 pub fn subscribed_policy(limiters: u32) -> WatchPolicy {
     WatchPolicy::new(&Settings { must_subscribe: true, limiters, ..fleet_settings() })
 }
--- a/limiter/src/discovery/watch.rs
+++ b/limiter/src/discovery/watch.rs
@@ -102,12 +102,13 @@
         EndedWatch { error, requested_at, was_accepted, has_progressed }
     }
 
-    /// Returns the time until the next request. One random draw is made in any case.
+    /// Returns the time until the next request. Every call makes one random draw, also where no backoff is
+    /// waited for.
     fn next_wait(&mut self, ended: &EndedWatch) -> Duration {
         let is_silent = matches!(ended.error, WatchError::Silent);
         let elapsed = ended.requested_at.elapsed();
-        // A watch that fell silent has a clock of its own, whatever it announced. One that ended soon is as
-        // good as none.
+        // MAX_SILENCE has already bounded the time of a watch that fell silent, whatever it announced. Any
+        // other watch that ended soon counts as a failure, unless a list was read.
         let has_lasted = ended.was_accepted && (is_silent || elapsed > self.policy.max_backoff);
         let backoff = if ended.has_progressed || has_lasted {
             self.backoff.after_success()
--- a/limiter/src/frontend/acceptor.rs
+++ b/limiter/src/frontend/acceptor.rs
@@ -90,7 +90,7 @@
         }
     }
 
-    /// Serves a connection in a task of its own.
+    /// Serves a connection in a separate task.
     fn serve(&self, stream: Stream) {
         let earliest = Instant::now() - MAX_QUEUE_WAIT;
         let queued_since = self.queued_since.get().map(|since| since.max(earliest));
--- a/limiter/src/frontend/connection.rs
+++ b/limiter/src/frontend/connection.rs
@@ -23,7 +23,7 @@
 use crate::observability::labels::{ClientCloseReason, Invariant};
 use crate::observability::metrics::Metrics;
 
-/// Adds a connection to the table and serves it in a task of its own. `queued_since` is the earliest time at
+/// Adds a connection to the table and serves it in a separate task. `queued_since` is the earliest time at
 /// which the connection may have entered the accept queue, if it may have waited there.
 pub(super) fn spawn(
     engine: &Rc<Engine>,
@@ -79,7 +79,9 @@
     /// Polls hyper, and closes the connection when another side asks for it.
     ///
     /// The order of the branches matters. hyper is polled first, so that bytes which have arrived are read
-    /// before another branch closes the connection.
+    /// before another branch closes the connection. The other branches are cancelled whenever one of them
+    /// completes. That loses no bytes and no request for a shutdown; an abort that is lost is requested
+    /// again, as `CloseSignals::abort_requested` explains.
     async fn drive(
         &self,
         http: HttpConnection<impl RequestService>,
--- a/limiter/src/frontend/connections.rs
+++ b/limiter/src/frontend/connections.rs
@@ -32,7 +32,7 @@
 
 impl Connections {
     /// Creates an empty table. `read_ahead_bytes` bounds the bytes that are read ahead on all connections
-    /// together, beyond those that each connection may buffer in any case.
+    /// together, beyond those that are guaranteed to each connection.
     pub(super) fn new(read_ahead_bytes: usize) -> Connections {
         Connections {
             by_id: RefCell::default(),
@@ -74,7 +74,7 @@
     }
 
     /// Closes connections that have been idle for too long, or whose request has not arrived completely in
-    /// time. Runs as a task of its own and never completes. Cancelling only ends the checks: nothing is
+    /// time. Runs in a separate task and never completes. Cancelling only ends the checks: nothing is
     /// borrowed or changed during the sleep.
     pub(super) async fn sweep(self: Rc<Self>) {
         loop {
--- a/limiter/src/frontend/read_ahead/memory.rs
+++ b/limiter/src/frontend/read_ahead/memory.rs
@@ -3,8 +3,8 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// Bytes that each connection may buffer in any case. The memory that the connection limits reserve for one
-/// connection covers this.
+/// Bytes that each connection may buffer, whatever other connections buffer. The memory that the connection
+/// limits reserve for one connection covers this.
 pub const GUARANTEED_BYTES: usize = 32 << 10;
 
 /// Memory that connections share for what they buffer beyond [`GUARANTEED_BYTES`].
@@ -13,7 +13,7 @@
 }
 
 impl ReadAheadMemory {
-    /// Creates a memory of so many bytes, all of which are free.
+    /// Creates a memory of `bytes` bytes, all of which are free.
     pub fn new(bytes: usize) -> ReadAheadMemory {
         ReadAheadMemory { free_bytes: Rc::new(Cell::new(bytes)) }
     }
--- a/limiter/src/frontend/read_ahead/mod.rs
+++ b/limiter/src/frontend/read_ahead/mod.rs
@@ -87,7 +87,7 @@
         Poll::Pending
     }
 
-    /// Returns whether the client has disconnected by now, without waiting. Reads ahead what has arrived.
+    /// Returns whether the client has disconnected, without waiting. Reads ahead what has arrived.
     /// Reads nothing unless `state` says that a disconnect is watched for: otherwise hyper reads the socket
     /// itself.
     fn is_disconnected(&mut self, state: &ConnectionState) -> bool {
--- a/limiter/src/frontend/read_ahead/request_framer.rs
+++ b/limiter/src/frontend/read_ahead/request_framer.rs
@@ -9,9 +9,9 @@
 enum Progress {
     /// The head is incomplete.
     Head(HeadProgress),
-    /// The head is complete; so many bytes of the body are missing, at least one.
+    /// The head is complete, and the body is not.
     Body {
-        /// Number of bytes that are missing.
+        /// Number of bytes of the body that are missing, at least one.
         remaining: usize,
     },
     /// The request has been seen to its end.
@@ -107,7 +107,7 @@
     }
 }
 
-/// Returns the progress of a request of whose body so many bytes are missing.
+/// Returns the progress of a request whose body is short of `remaining` bytes.
 fn progress_before_body(remaining: usize) -> Progress {
     if remaining > 0 {
         Progress::Body { remaining }
--- a/limiter/src/frontend/request/body.rs
+++ b/limiter/src/frontend/request/body.rs
@@ -61,7 +61,7 @@
 /// Reads the rest of a body that is too large, within bounds. Closing the socket with unread bytes would
 /// cause a reset, in which the client could lose the response.
 async fn discard(body: Incoming) -> RequestBodyError {
-    // Timing out is no error: the response is written in any case.
+    // The response is written whether or not the rest of the body arrives in time.
     let _ = timeout(DISCARD_TIMEOUT, read_and_drop(body)).await;
     RequestBodyError::TooLarge
 }
--- a/limiter/src/upstream/attempt.rs
+++ b/limiter/src/upstream/attempt.rs
@@ -84,7 +84,8 @@
     check_still_wanted(engine, job, address)?;
     let request = build_request(job, address, job.server_deadline - engine.now())?;
     let response = connection.drive(async move |sender| exchange(sender, request).await).await?;
-    // A server that has stopped serving is sent nothing more on this connection, which nobody would close.
+    // A server that has stopped serving must receive no further request on this connection. The connection is
+    // dropped, since nothing else would close it.
     let is_serving = engine.serving_address(&job.server) == Some(address);
     if is_serving && connection.is_alive() {
         servers.put_idle(&job.server, connection);
@@ -116,7 +117,7 @@
     rules::may_send(&facts).map_err(AttemptError::Refused)
 }
 
-/// Builds the request to a server, for which the client waits for so long from now on.
+/// Builds the request to a server. The client waits for another `remaining_ms`.
 fn build_request(
     job: &AttemptJob,
     address: SocketAddr,
