--- a/limiter/tests/pinned_heads.rs
+++ b/limiter/tests/pinned_heads.rs
@@ -11,7 +11,7 @@
 use std::time::{Duration, Instant};
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_limiter");
-const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
+const PATIENCE: Duration = Duration::from_secs(20);
 
 /// The program listens on an address of its own, so that its log tells the port whatever its words are.
 const CONFIG: &str = r#"{"name":"n0","listen":"127.0.0.2:0","discovery":"DISCOVERY","seed":"8c1f30d27a5be964",
@@ -28,7 +28,7 @@
 fn wait_for(what: &str, mut holds: impl FnMut() -> bool) {
     let began = Instant::now();
     while !holds() {
-        assert!(began.elapsed() < WAIT_TIMEOUT, "waited in vain for {what}");
+        assert!(began.elapsed() < PATIENCE, "waited in vain for {what}");
         std::thread::sleep(Duration::from_millis(10));
     }
 }
@@ -269,7 +269,7 @@
 
     fn send(&self, request: &str) -> TcpStream {
         let mut stream = TcpStream::connect(self.addr).expect("connect");
-        stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("time-out");
+        stream.set_read_timeout(Some(PATIENCE)).expect("time-out");
         stream.write_all(request.as_bytes()).expect("write");
         stream
     }
