--- a/limiter/src/discovery/policy/tests.rs
+++ b/limiter/src/discovery/policy/tests.rs
@@ -10,7 +10,7 @@
 /// announced when the local agent has it, whether or not a watch is open. However large the fleet, no time
 /// without a watch may be that long.
 #[test]
-fn an_agent_is_called_again_at_once_whatever_the_fleet() {
+fn an_agent_is_polled_again_immediately_whatever_the_fleet() {
     let policy = WatchPolicy::new(&fleet_settings());
     let mut backoff = Backoff::new(policy, 1);
     let longest = (0..50).map(|_| backoff.after_failure(Duration::ZERO)).max().unwrap_or_default();
@@ -21,7 +21,7 @@
 /// Silence has one bound, also where lists are subscribed to: 6 s after a watch fell silent, the changes that
 /// it missed count as announced.
 #[test]
-fn a_silent_watch_is_begun_anew_in_time_in_a_fleet_of_hundreds() {
+fn a_silent_watch_is_reopened_in_time_in_a_fleet_of_hundreds() {
     let mut backoff = Backoff::new(subscribed_policy(300), 1);
     let longest = (0..50).map(|_| backoff.after_success()).max().unwrap_or_default();
     assert!(MAX_SILENCE + longest <= Duration::from_secs(5), "{longest:?}");
