--- a/limiter-core/src/admission/mod.rs
+++ b/limiter-core/src/admission/mod.rs
@@ -1,87 +1,122 @@
-//! CASA: admission by slots with feedback ("Classification-based Adjusted Slot Admission Control").
+//! Admission control by slots, after CASA: "Classification-based Adjusted Slot Admission Control for Query
+//! Processing Engines" (Zeyl, Venugopal, Sun and Larson).
+//!
+//! Each request is charged a number of *slots* that grows with its expected cost. A request is forwarded
+//! while its slots fit under the *slot limit*, beside those of the attempts in flight, and is queued
+//! otherwise. A feedback on latency sets how many slots costly requests take, so that an overload throttles
+//! costly requests first.
+//!
+//! # Terms
+//!
+//! - **Cost class** (`cost_classes.rs`): one of four ranges of costs, separated at the quartiles of recent
+//!   costs. The lower bound of a request's class is `l`, that of the highest class is `lmax`.
+//! - **Slots of a request** (`slots.rs`): `alpha * l / lmax + 1`, so 1 in the lowest class and `alpha + 1` in
+//!   the highest one.
+//! - **Slot limit** (`slot_limit.rs`): the slots that the attempts in flight may occupy together.
+//! - **numBigQueries** (`feedback.rs`): the number of requests of the highest class that the slot limit
+//!   admits at once.
+//! - **alpha**: `slot limit / numBigQueries - 1`. Alpha is 0 at the start, when every request takes one slot.
+//! - **Error** (`feedback.rs`): smoothed latency relative to its target, minus one, plus the fraction of
+//!   attempts that full servers rejected. A positive error means that the servers are overloaded.
+//! - **Re and Ra** (`signals.rs`): the smoothed rates, per second, of requests that were queued (enqueued)
+//!   and of requests that were admitted.
+//! - **Damping** (`feedback.rs`): the factor by which a correction is reduced, to avoid oscillations. For a
+//!   positive error the factor is `Re / (Re + Ra + 1)`, which the paper calls Fa. For a negative error it is
+//!   `Ra / (Re + Ra + 1)`; the paper mentions such a complementary adjustment without a formula.
+//!
+//! # Who changes the slot limit and numBigQueries
+//!
+//! Only [`Admission::step_feedback`], in each control step: first the slot limit by `SlotLimit::adjust`, then
+//! numBigQueries by `NumBigQueries::adjust`. All other methods record measurements (`signals.rs`) or occupy
+//! and release slots (`slots.rs`).
+//!
+//! # Differences from the paper
+//!
+//! CASA assumes one coordinator with a fixed limit. Here each limiter has a slot limit, which adapts to what
+//! the servers complete in time; limiters report their latency to each other in gossip. A request's cost in
+//! quota units, declared or estimated, replaces the predicted CPU and memory class.
 
 mod cost_classes;
-mod state;
+mod feedback;
+mod signals;
+mod slot_limit;
+mod slots;
 
-use crate::event::Millis;
-pub(crate) use state::Admission;
-use state::{INITIAL_SLOT_LIMIT, MIN_SMOOTHING_MS};
+use crate::event::{Millis, Outcome};
+use cost_classes::CostClasses;
+use feedback::NumBigQueries;
+pub(crate) use feedback::CONTROL_STEP_MS;
+use signals::Signals;
+use slot_limit::SlotLimit;
+use slots::SlotUsage;
 
-/// Least slots a server over all limiters: with a lower limit too little completes for it to grow again.
-const MIN_SLOTS_PER_SERVER: f64 = 6.0;
-/// Least slot limit of one limiter.
-const MIN_SLOT_LIMIT: f64 = 2.0;
-/// Fraction of the objective above which smoothed latency makes the error positive. Low, since latency tells
-/// of a queue only once it is served: at half the objective a flood had filled the servers by then.
-const TARGET_LATENCY_FRACTION: f64 = 0.25;
-/// Milliseconds between two control steps, and so between two steps of the feedback.
-pub(crate) const CONTROL_STEP_MS: Millis = 100.0;
-/// Milliseconds in which numBigQueries moves by error times damping.
-const FULL_CORRECTION_MS: Millis = 1000.0;
-/// Largest alpha: with more, one costly request takes up the whole slot limit while servers are idle.
-const MAX_ALPHA: f64 = 2.0;
-/// Measurements are smoothed over so many samples; older ones decay, also after a stall.
-const SMOOTHING_SAMPLES: f64 = 20.0;
-/// Longest smoothing time in milliseconds.
-const MAX_SMOOTHING_MS: Millis = 10_000.0;
-/// Growth of the limit in one step with a negative error, while more than half of it is used: an unused limit
-/// says nothing of what the back end could take.
-const LIMIT_GROWTH: f64 = 0.03;
+/// Admission control of one limiter.
+#[derive(Debug)]
+pub(crate) struct Admission {
+    cost_classes: CostClasses,
+    slot_usage: SlotUsage,
+    slot_limit: SlotLimit,
+    num_big_queries: NumBigQueries,
+    signals: Signals,
+}
 
 impl Admission {
-    /// Slots that a request occupies: alpha * l / lmax + 1, with l and lmax the lower bounds of its cost
-    /// class and of the highest one.
-    pub fn slots_for(&self, cost_units: f64) -> f64 {
-        let alpha = self.slot_limit / self.num_big_queries - 1.0;
-        alpha * self.cost_classes.lower_bound(cost_units) / self.cost_classes.highest_bound() + 1.0
+    /// Creates admission control that has measured nothing yet.
+    pub fn new(now: Millis) -> Self {
+        Admission {
+            cost_classes: CostClasses::default(),
+            slot_usage: SlotUsage::new(now),
+            slot_limit: SlotLimit::new(),
+            num_big_queries: NumBigQueries::new(),
+            signals: Signals::new(now),
+        }
     }
 
-    /// Whether so many slots are free now; the first request always fits.
-    pub fn fits(&self, now: Millis, slots: f64) -> bool {
-        self.occupied_slots <= 0.0 || self.busy_slots(now) + slots <= self.slot_limit
+    /// Records the cost of an arriving request.
+    pub fn record_cost(&mut self, cost_units: f64) {
+        self.cost_classes.record(cost_units);
     }
 
-    /// Smooths over as many requests as needed: a limiter in a large fleet sees only a few a second.
-    pub fn adapt_smoothing(&mut self, now: Millis) {
-        let admitted_per_ms = self.signals.admitted.rate(now) / 1000.0;
-        let span_ms = SMOOTHING_SAMPLES / admitted_per_ms.max(1e-9);
-        self.signals.set_span(now, span_ms.clamp(MIN_SMOOTHING_MS, MAX_SMOOTHING_MS));
+    /// Records that a request is forwarded for the first time.
+    pub fn record_admitted(&mut self, now: Millis) {
+        self.signals.record_admitted(now);
+    }
+
+    /// Records that a request is queued for slots or a server.
+    pub fn record_queued(&mut self, now: Millis) {
+        self.signals.record_queued(now);
+    }
+
+    /// Returns the latency that this limiter has measured, as a fraction of the latency objective, for its
+    /// peers.
+    pub fn local_latency(&self, now: Millis) -> Option<f64> {
+        self.signals.local_latency(now)
     }
 
-    /// One step of the feedback before so many servers. The slot limit moves first and numBigQueries in
-    /// proportion, so that alpha moves by the damped feedback alone.
-    pub fn step_feedback(&mut self, now: Millis, servers: usize, limiters: u32) {
-        self.cost_classes.update();
-        let error = self.error(now);
-        let before = self.slot_limit;
-        let min_slots = MIN_SLOTS_PER_SERVER * servers as f64 / f64::from(limiters);
-        self.move_slot_limit(now, error, min_slots.max(MIN_SLOT_LIMIT));
-        let (queued, admitted) = (self.signals.queued.rate(now), self.signals.admitted.rate(now));
-        let damping = if error > 0.0 { queued } else { admitted } / (queued + admitted + 1.0);
-        let correction = error * damping * CONTROL_STEP_MS / FULL_CORRECTION_MS;
-        let min = (self.slot_limit / (MAX_ALPHA + 1.0)).max(1.0);
-        self.num_big_queries =
-            (self.num_big_queries * self.slot_limit / before - correction).clamp(min, self.slot_limit);
+    /// Records the latency that a peer has measured, as a fraction of the latency objective.
+    pub fn record_peer_latency(&mut self, now: Millis, latency: f64) {
+        self.signals.record_peer_latency(now, latency);
     }
 
-    /// Smoothed latency over the target, minus one, plus the fraction that full servers rejected.
-    fn error(&self, now: Millis) -> f64 {
-        let latency = self.signals.latency.value(now);
-        let rejected = self.signals.rejected.value(now).unwrap_or(0.0);
-        latency.map_or(-1.0, |latency| latency / TARGET_LATENCY_FRACTION - 1.0) + rejected
+    /// Adapts the time constant of the measurements to the rate of requests. Called in each control step.
+    pub fn adapt_smoothing(&mut self, now: Millis) {
+        self.signals.adapt_smoothing(now);
     }
 
-    /// A positive error lowers the limit to what the back end finishes in the target time, by Little's law;
-    /// more than that in flight only waits there. A negative one lets it grow while it is used.
-    fn move_slot_limit(&mut self, now: Millis, error: f64, min_slots: f64) {
-        let signals = &self.signals;
-        let mean_objective_ms = signals.objectives_ms.value(now) / signals.completed.value(now).max(1.0);
-        let finished = signals.completed.rate(now) * (TARGET_LATENCY_FRACTION * mean_objective_ms / 1000.0);
-        let bound = finished.max(min_slots);
-        if error > 0.0 {
-            self.slot_limit = self.slot_limit.min(bound);
-        } else if self.busy_slots(now) * 2.0 > self.slot_limit {
-            self.slot_limit = (self.slot_limit * (1.0 + LIMIT_GROWTH)).max(bound).min(INITIAL_SLOT_LIMIT);
+    /// Records the end of an attempt that occupied `slots`, for a request with this latency objective:
+    /// releases the slots and measures the attempt.
+    pub fn attempt_ended(
+        &mut self,
+        now: Millis,
+        outcome: Outcome,
+        slots: f64,
+        objective_ms: Millis,
+        elapsed_ms: Millis,
+    ) {
+        self.slot_usage.release(slots);
+        if outcome == Outcome::Cancelled {
+            self.slot_usage.record_cancelled(now, slots);
         }
+        self.signals.record_attempt(now, outcome, objective_ms, elapsed_ms);
     }
 }
--- /dev/null
+++ b/limiter-core/src/admission/slot_limit.rs
@@ -0,0 +1,65 @@
+//! The slot limit: how many slots the attempts in flight may occupy together.
+
+use super::signals::Signals;
+use crate::event::Millis;
+
+/// Slot limit at the start, and its upper bound. The value is generous, so that the limit binds only after an
+/// overload was measured.
+pub(super) const INITIAL_SLOT_LIMIT: f64 = 4096.0;
+/// Lower bound of the slots per server that all limiters have together. With a lower limit too few requests
+/// complete for the limit to grow again.
+const MIN_SLOTS_PER_SERVER: f64 = 6.0;
+/// Lower bound of the slot limit of one limiter.
+const MIN_SLOT_LIMIT: f64 = 2.0;
+/// Relative growth of the slot limit in one control step with a negative error.
+const LIMIT_GROWTH: f64 = 0.03;
+/// Fraction of the slot limit that must be in use for the limit to grow. An unused limit says nothing about
+/// what the servers can take.
+const MIN_USED_FRACTION: f64 = 0.5;
+/// Fraction of the latency objective that is the target of the feedback. The target is low because latency
+/// shows a queue only after the queued requests are served: with a target of half the objective, a flood had
+/// filled the servers before the error became positive.
+pub(super) const TARGET_LATENCY_FRACTION: f64 = 0.25;
+
+/// The slot limit of one limiter.
+#[derive(Debug)]
+pub(super) struct SlotLimit {
+    slots: f64,
+}
+
+impl SlotLimit {
+    /// Starts at [`INITIAL_SLOT_LIMIT`].
+    pub fn new() -> Self {
+        SlotLimit { slots: INITIAL_SLOT_LIMIT }
+    }
+
+    /// Returns the limit in slots.
+    pub fn slots(&self) -> f64 {
+        self.slots
+    }
+
+    /// Makes one step of the feedback. A positive error lowers the limit to the slots that the servers
+    /// sustain; more attempts in flight would only wait at the servers. A negative error raises the limit by
+    /// [`LIMIT_GROWTH`], but at least to what the servers sustain, while most of the limit is in use.
+    pub fn adjust(&mut self, error: f64, sustainable_slots: f64, slots_in_use: f64) {
+        if error > 0.0 {
+            self.slots = self.slots.min(sustainable_slots);
+        } else if slots_in_use > self.slots * MIN_USED_FRACTION {
+            self.slots = (self.slots * (1.0 + LIMIT_GROWTH)).max(sustainable_slots).min(INITIAL_SLOT_LIMIT);
+        }
+    }
+}
+
+/// Returns the slots that the servers sustain within the target latency. By Little's law that is the rate of
+/// successful responses times the target latency; at least [`min_slots`].
+pub(super) fn sustainable_slots(signals: &Signals, now: Millis, min_slots: f64) -> f64 {
+    let target_latency_s = TARGET_LATENCY_FRACTION * signals.mean_objective_ms(now) / 1000.0;
+    let completed_in_target_time = signals.completed_per_s(now) * target_latency_s;
+    completed_in_target_time.max(min_slots)
+}
+
+/// Returns the lower bound of the slot limit for a limiter that shares its servers with other limiters.
+pub(super) fn min_slots(servers: usize, limiters: u32) -> f64 {
+    let slots_per_limiter = MIN_SLOTS_PER_SERVER * servers as f64 / f64::from(limiters);
+    slots_per_limiter.max(MIN_SLOT_LIMIT)
+}
--- a/limiter-core/src/limiter.rs
+++ b/limiter-core/src/limiter.rs
@@ -104,8 +104,13 @@
 
     /// How much is remembered at this moment.
     pub fn cache_sizes(&self) -> CacheSizes {
-        let (owner_quotas, grants) = self.owned_quotas.sizes();
-        let (member_quotas, requests) = (self.member_quotas.len(), self.requests.pending.len());
-        CacheSizes { member_quotas, owner_quotas, grants, requests, gossip_messages: self.gossip.len() }
+        let owned = self.owned_quotas.sizes();
+        CacheSizes {
+            member_quotas: self.member_quotas.len(),
+            owner_quotas: owned.quotas,
+            grants: owned.decisions,
+            requests: self.requests.pending.len(),
+            gossip_messages: self.gossip.len(),
+        }
     }
 }
--- /dev/null
+++ b/limiter-core/src/quota/member/fallback.rs
@@ -0,0 +1,131 @@
+//! The decision of a member while no owner can be asked.
+
+use super::even_share::EvenShare;
+use super::{MemberQuota, MemberQuotas};
+use crate::context::Context;
+use crate::decay::DecayingMean;
+use crate::event::{Action, Millis, Request, RequestId};
+use crate::limiter::Limiter;
+use crate::quota::keys::QuotaKey;
+
+/// Time constant in milliseconds of the fraction of grants. It must be longer than the silences of owners,
+/// because nothing is measured during a silence.
+const GRANT_FRACTION_SPAN_MS: Millis = 60_000.0;
+
+/// A member's decision without an owner.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+enum LocalDecision {
+    /// The request may be forwarded.
+    Admit,
+    /// The request is rejected.
+    Deny,
+    /// The member has no record of the quota: the request stays pending until its deadline.
+    UnknownQuota,
+}
+
+/// How often owners grant the requests of customers about whom the member has no valid reply. The fraction
+/// predicts the decision for such a customer while no owner can be asked.
+#[derive(Debug)]
+pub(super) struct UnknownCustomerGrants {
+    granted_fraction: DecayingMean,
+}
+
+impl UnknownCustomerGrants {
+    /// Creates the state before any reply.
+    pub fn new(now: Millis) -> Self {
+        UnknownCustomerGrants { granted_fraction: DecayingMean::new(now, GRANT_FRACTION_SPAN_MS) }
+    }
+
+    /// Records an owner's decision on a customer without a valid reply.
+    pub fn record(&mut self, now: Millis, granted: bool) {
+        self.granted_fraction.add(now, if granted { 1.0 } else { 0.0 });
+    }
+
+    /// Returns the fraction of grants, or `None` without recent decisions.
+    fn fraction(&self, now: Millis) -> Option<f64> {
+        self.granted_fraction.value(now)
+    }
+}
+
+/// Returns the even share of the quota that a request counts against. A plan without a rate quota is limited
+/// by its attempts in flight: each attempt in flight counts as the units of this request, which become free
+/// again within one latency objective.
+fn even_share_of(context: &Context, request: &Request) -> EvenShare {
+    let plan = context.plan(request);
+    if plan.rate > 0.0 {
+        return EvenShare::new(plan.rate, plan.burst, request.member_count);
+    }
+    let capacity = f64::from(plan.max_in_flight) * request.cost_units;
+    let objective_s = context.class(request).latency_objective_ms / 1000.0;
+    EvenShare::new(capacity / objective_s, capacity, request.member_count)
+}
+
+impl MemberQuota {
+    /// Returns the probability at which a request is admitted whose units the even share does not hold.
+    ///
+    /// A share that can hold the request decides alone, so the probability is 0. A smaller share admits with
+    /// at least the fraction of the request that is in the bucket: with demand far above the quota, all
+    /// members together then spend the quota. A known customer is admitted at least at the probability that
+    /// brings its last known demand down to the quota, an unknown customer at the fraction of grants for
+    /// other unknown customers.
+    fn admission_probability(
+        &self,
+        now: Millis,
+        share: EvenShare,
+        request_units: f64,
+        unknown_customers: &UnknownCustomerGrants,
+    ) -> f64 {
+        if share.can_hold(request_units) {
+            return 0.0;
+        }
+        let expected = if self.has_reply() {
+            self.demand_ratio.max(1.0).recip()
+        } else {
+            unknown_customers.fraction(now).unwrap_or(0.0)
+        };
+        (self.even_share.level / request_units).max(expected)
+    }
+}
+
+impl MemberQuotas {
+    /// Decides on a request by the member's even share of the rate, or of the attempts in flight. Denies
+    /// requests under a ceiling, which only owners hold.
+    ///
+    /// Draws a random number if the even share does not hold the units of the request.
+    fn decide_without_owner(&mut self, context: &mut Context, request: &Request) -> LocalDecision {
+        let Some(quota) = self.quotas.get_mut(&QuotaKey::of(request)) else {
+            return LocalDecision::UnknownQuota;
+        };
+        let now = context.now;
+        let units = request.cost_units;
+        let share = even_share_of(context, request);
+        quota.refill_even_share(now, share, units);
+        let probability = quota.admission_probability(now, share, units, &self.unknown_customer_grants);
+        let is_admitted = quota.even_share.level >= units || context.rng.f64() < probability;
+        // A request that was denied at random spends from the share too: the probability included these
+        // units.
+        if is_admitted || probability > 0.0 {
+            quota.even_share.level = (quota.even_share.level - units).max(0.0);
+        }
+        if is_admitted && !context.plan(request).has_ceiling() {
+            LocalDecision::Admit
+        } else {
+            LocalDecision::Deny
+        }
+    }
+}
+
+impl Limiter {
+    /// Admits or rejects a request for which no owner can be asked.
+    pub(super) fn admit_without_owner(&mut self, id: RequestId, out: &mut Vec<Action>) {
+        let Some(pending) = self.requests.get_mut(id) else { return };
+        match self.member_quotas.decide_without_owner(&mut self.context, &pending.request) {
+            LocalDecision::Admit => {
+                pending.admitted_at = self.context.now;
+                self.forward_or_queue(id, out);
+            }
+            LocalDecision::Deny => self.reject_or_fail(id, out),
+            LocalDecision::UnknownQuota => {}
+        }
+    }
+}
--- /dev/null
+++ b/limiter-core/src/quota/member/mod.rs
@@ -0,0 +1,128 @@
+//! The member side of quotas: what this limiter knows about the quotas of the customers whose requests it
+//! receives.
+
+mod even_share;
+mod fallback;
+mod grant_replies;
+mod grant_requests;
+mod local_share;
+mod owner_health;
+mod reply_wait;
+mod shedding;
+
+use std::collections::BTreeMap;
+
+use super::keys::QuotaKey;
+use super::retention::retention_ms;
+use crate::context::Context;
+use crate::event::{Millis, Request};
+use crate::gossip::{GrantReply, QuotaRequest};
+use crate::settings::Plan;
+use crate::token_bucket::TokenBucket;
+use fallback::UnknownCustomerGrants;
+use owner_health::OwnerHealth;
+use reply_wait::ReplyWait;
+
+/// Milliseconds for which the demand in an owner's reply is valid. Afterwards the customer is unknown to this
+/// member until the next reply.
+const REPLY_VALIDITY_MS: Millis = 4000.0;
+
+/// What this limiter knows, as a member, about quotas and their owners.
+#[derive(Debug)]
+pub(crate) struct MemberQuotas {
+    quotas: BTreeMap<QuotaKey, MemberQuota>,
+    owner_health: OwnerHealth,
+    reply_wait: ReplyWait,
+    unknown_customer_grants: UnknownCustomerGrants,
+}
+
+impl MemberQuotas {
+    /// Creates the state of a member that knows no quota and has not asked any owner.
+    pub fn new(now: Millis) -> Self {
+        MemberQuotas {
+            quotas: BTreeMap::new(),
+            owner_health: OwnerHealth::new(),
+            reply_wait: ReplyWait::new(),
+            unknown_customer_grants: UnknownCustomerGrants::new(now),
+        }
+    }
+
+    /// Returns the number of retained quotas.
+    pub fn len(&self) -> usize {
+        self.quotas.len()
+    }
+
+    /// Records that gossip from a peer has arrived: the peer is running and reachable.
+    pub fn gossip_received(&mut self, from: u32) {
+        self.owner_health.record_gossip(from);
+    }
+
+    /// Drops the quotas of customers that have not sent a request for their retention time.
+    pub fn expire(&mut self, context: &Context) {
+        let count = self.quotas.len();
+        self.quotas
+            .retain(|key, quota| context.now - quota.last_used_at < retention_ms(context, *key, count));
+    }
+
+    /// Returns the quota request for the units of a request, with the demand that no reply has covered yet.
+    fn quota_request(&self, request: &Request) -> QuotaRequest {
+        let quota = self.quotas.get(&QuotaKey::of(request));
+        QuotaRequest::new(request, quota.map_or(0.0, |quota| quota.unreported_units))
+    }
+
+    /// Records what an owner's reply says about the customer.
+    fn record_reply(&mut self, now: Millis, reply: &GrantReply) {
+        let Some(quota) = self.quotas.get_mut(&reply.quota()) else { return };
+        if !quota.has_valid_reply(now) {
+            self.unknown_customer_grants.record(now, reply.granted);
+        }
+        quota.demand_ratio = f64::from(reply.demand_ratio);
+        quota.last_reply_at = now;
+        quota.unreported_units = 0.0;
+        quota.estimated_owner_tokens = f64::from(reply.tokens_left);
+    }
+}
+
+/// What a member knows about one quota.
+#[derive(Debug)]
+struct MemberQuota {
+    /// Token bucket of the member's even share, in units.
+    even_share: TokenBucket,
+    /// The customer's demand at all limiters as a multiple of the quota, according to the last reply.
+    demand_ratio: f64,
+    /// Time of the last reply from an owner; negative infinity before the first.
+    last_reply_at: Millis,
+    /// Estimate of the units left in the owner's bucket: the level in the last reply, minus the units that
+    /// this member has spent from its even share since. The bucket counts as full until the first reply.
+    estimated_owner_tokens: f64,
+    /// Units shed since the last reply. The owner has not counted these units as demand yet.
+    unreported_units: f64,
+    /// Time of the customer's last request at this member.
+    last_used_at: Millis,
+}
+
+impl MemberQuota {
+    /// Creates a quota that no owner has replied about. The even share starts full, but is not rounded up to
+    /// the units of a whole request: a hundred members would otherwise give the customer a hundred free
+    /// requests.
+    fn new(now: Millis, plan: &Plan, member_count: u32) -> Self {
+        MemberQuota {
+            even_share: TokenBucket::new(plan.burst / f64::from(member_count), now),
+            demand_ratio: 0.0,
+            last_reply_at: f64::NEG_INFINITY,
+            estimated_owner_tokens: plan.burst,
+            unreported_units: 0.0,
+            last_used_at: now,
+        }
+    }
+
+    /// Returns whether an owner has ever replied about this quota.
+    fn has_reply(&self) -> bool {
+        self.last_reply_at > f64::NEG_INFINITY
+    }
+
+    /// Returns whether the demand in the last reply is recent enough to decide by.
+    fn has_valid_reply(&self, now: Millis) -> bool {
+        now - self.last_reply_at <= REPLY_VALIDITY_MS
+    }
+}
--- /dev/null
+++ b/limiter-core/src/quota/owner/bucket.rs
@@ -0,0 +1,115 @@
+//! The state of one quota at its owner: token buckets, units outstanding, requests in flight and demand.
+
+use super::grants::GRANT_VALIDITY_MS;
+use crate::context::Context;
+use crate::decay::DecayingSum;
+use crate::event::Millis;
+use crate::gossip::QuotaRequest;
+use crate::quota::placement::CEILING_FRACTIONS;
+use crate::settings::Plan;
+use crate::token_bucket::TokenBucket;
+
+/// Fraction of the rate quota that owners other than the first grant. The first owner may be unreachable from
+/// some members only, and then two owners grant from the same quota.
+const BACKUP_QUOTA_FRACTION: f64 = 0.5;
+/// Shortest time constant in milliseconds over which demand is smoothed.
+const MIN_DEMAND_SPAN_MS: Millis = 1000.0;
+/// Longest time constant in milliseconds over which demand is smoothed.
+const MAX_DEMAND_SPAN_MS: Millis = 10_000.0;
+/// Lower bound in units per second of the admitted rate that demand is compared with while the quota of
+/// attempts in flight is full.
+const MIN_ADMITTED_RATE: f64 = 1e-3;
+/// Lower bound in units per second of a rate that is divided by.
+const MIN_RATE: f64 = 1e-9;
+
+/// The fractions of a quota that one owner may grant.
+#[derive(Debug, Clone, Copy)]
+pub(super) struct OwnerFractions {
+    /// Fraction of the plan's rate and burst.
+    pub rate_quota: f64,
+    /// Fraction of the plan's ceiling.
+    pub ceiling: f64,
+}
+
+impl OwnerFractions {
+    /// Returns the fractions of the owner with this rank, 0 being the owner that is asked first.
+    pub fn of_rank(rank: usize) -> Self {
+        let rate_quota = if rank == 0 { 1.0 } else { BACKUP_QUOTA_FRACTION };
+        OwnerFractions { rate_quota, ceiling: CEILING_FRACTIONS[rank] }
+    }
+}
+
+/// What an owner keeps for one quota.
+#[derive(Debug)]
+pub(super) struct OwnerQuota {
+    /// Fraction of the ceiling that this owner holds.
+    pub ceiling_fraction: f64,
+    /// Token bucket of the rate quota, in units. Overdrawn by units that members spent without asking, and by
+    /// requests that cost more than their estimate.
+    pub tokens: TokenBucket,
+    /// Token bucket of this owner's fraction of the ceiling, in units.
+    pub ceiling: TokenBucket,
+    /// Units granted under the ceiling that a member may still spend.
+    pub outstanding_units: f64,
+    /// Requests granted and not settled.
+    pub in_flight: u32,
+    /// Units requested by all members, smoothed.
+    demand: DecayingSum,
+    /// Units granted, smoothed over the same time.
+    pub admitted: DecayingSum,
+    /// Time of the last quota request.
+    pub last_used_at: Millis,
+}
+
+impl OwnerQuota {
+    /// Creates a quota with a full bucket. The ceiling starts as if it had been spent down to the slack, and
+    /// refills only once everything that an earlier incarnation of this limiter may have granted has expired.
+    ///
+    /// Demand is smoothed over the time in which a whole burst refills, within bounds.
+    pub fn new(context: &Context, plan: &Plan, fractions: OwnerFractions) -> Self {
+        let now = context.now;
+        let refills_ceiling_from = context.started_at + GRANT_VALIDITY_MS;
+        let burst_ms = 1000.0 * plan.burst / plan.rate.max(MIN_RATE);
+        let no_units = DecayingSum::new(now, burst_ms.clamp(MIN_DEMAND_SPAN_MS, MAX_DEMAND_SPAN_MS));
+        OwnerQuota {
+            ceiling_fraction: fractions.ceiling,
+            tokens: TokenBucket::new(plan.burst * fractions.rate_quota, now),
+            ceiling: TokenBucket::new(-plan.ceiling_slack * fractions.ceiling, refills_ceiling_from),
+            outstanding_units: 0.0,
+            in_flight: 0,
+            demand: no_units,
+            admitted: no_units,
+            last_used_at: now,
+        }
+    }
+
+    /// Refills both buckets; the bucket of the rate quota by `rate_quota_fraction` of the plan's rate and
+    /// burst. Outstanding units lower the capacity of the ceiling's bucket: a member may spend the units
+    /// after the refill.
+    pub fn refill(&mut self, now: Millis, plan: &Plan, rate_quota_fraction: f64) {
+        self.tokens.refill(now, plan.rate * rate_quota_fraction, plan.burst * rate_quota_fraction);
+        let ceiling_capacity = plan.ceiling_burst * self.ceiling_fraction - self.outstanding_units;
+        self.ceiling.refill(now, plan.ceiling_rate * self.ceiling_fraction, ceiling_capacity);
+    }
+
+    /// Records the units of a quota request as demand, with those that the member has shed since its last
+    /// reply.
+    pub fn record_demand(&mut self, now: Millis, request: &QuotaRequest) {
+        self.demand.add(now, f64::from(request.units) + f64::from(request.unreported_units));
+    }
+
+    /// Returns the customer's demand as a multiple of its quota. While the quota of attempts in flight is
+    /// full, the quota is the rate that was admitted, as the rate that fits is not known in advance. Returns
+    /// 0 without a quota.
+    pub fn demand_ratio(&self, now: Millis, plan: &Plan) -> f64 {
+        let is_full = plan.max_in_flight > 0 && self.in_flight >= plan.max_in_flight;
+        let quota = if is_full {
+            self.admitted.rate(now).max(MIN_ADMITTED_RATE)
+        } else if plan.rate > 0.0 {
+            plan.rate
+        } else {
+            f64::INFINITY
+        };
+        self.demand.rate(now) / quota
+    }
+}
--- /dev/null
+++ b/limiter-core/src/quota/owner/expiry.rs
@@ -0,0 +1,56 @@
+//! Expiry of what an owner remembers.
+
+use super::bucket::OwnerQuota;
+use super::grants::Grant;
+use super::{OwnedQuotas, GRANT_VALIDITY_MS};
+use crate::context::Context;
+use crate::event::Millis;
+use crate::quota::retention::retention_ms;
+
+/// Shortest time in milliseconds for which an owner remembers a decision. Duplicates of the quota request and
+/// the settlement arrive within this time or within the longest latency objective.
+const MIN_DECISION_RETENTION_MS: Millis = 8000.0;
+
+impl OwnedQuotas {
+    /// Expires grants, and drops old decisions and the quotas of customers that have not been seen for their
+    /// retention time.
+    pub fn expire(&mut self, context: &Context) {
+        self.expire_decisions(context);
+        let count = self.quotas.len();
+        self.quotas
+            .retain(|key, quota| context.now - quota.last_used_at < retention_ms(context, *key, count));
+    }
+
+    /// Expires grants by their age, and drops old decisions.
+    fn expire_decisions(&mut self, context: &Context) {
+        let max_objective_ms = max_latency_objective_ms(context);
+        let decision_retention_ms = MIN_DECISION_RETENTION_MS.max(max_objective_ms);
+        let quotas = &mut self.quotas;
+        self.decisions.retain(|_, decision| {
+            let age_ms = context.now - decision.decided_at;
+            if let (Some(quota), Some(grant)) = (quotas.get_mut(&decision.quota), &mut decision.grant) {
+                quota.expire_grant(grant, age_ms, max_objective_ms);
+            }
+            age_ms < decision_retention_ms
+        });
+    }
+}
+
+impl OwnerQuota {
+    /// Releases what a grant of this age occupies. A settlement may be lost, so a request counts as in flight
+    /// for the longest latency objective at most.
+    fn expire_grant(&mut self, grant: &mut Grant, age_ms: Millis, max_objective_ms: Millis) {
+        if age_ms > GRANT_VALIDITY_MS {
+            self.end_outstanding(grant);
+        }
+        if age_ms > max_objective_ms {
+            self.end_in_flight(grant);
+        }
+    }
+}
+
+/// Returns the longest latency objective of all request classes.
+fn max_latency_objective_ms(context: &Context) -> Millis {
+    let objectives = context.settings.classes.iter().map(|class| class.latency_objective_ms);
+    objectives.fold(0.0, f64::max)
+}
--- /dev/null
+++ b/limiter-core/src/quota/owner/grants.rs
@@ -0,0 +1,93 @@
+//! Grants: what an owner decides on a quota request, and what the owner remembers of the decision.
+
+use super::bucket::OwnerQuota;
+use crate::event::Millis;
+use crate::gossip::QuotaRequest;
+use crate::quota::keys::QuotaKey;
+use crate::settings::Plan;
+
+/// Milliseconds for which units granted under a ceiling may be spent. A member counts them from the
+/// submission of the request and an owner from its later decision, so the owner counts the units as
+/// outstanding for at least as long as the member may spend them. The time covers the wait for a reply and
+/// the wait in the queue.
+pub(crate) const GRANT_VALIDITY_MS: Millis = 500.0;
+
+/// An owner's decision on a quota request, remembered for duplicates of the request and for the settlement.
+#[derive(Debug)]
+pub(super) struct Decision {
+    /// The requested quota.
+    pub quota: QuotaKey,
+    /// Time of the decision.
+    pub decided_at: Millis,
+    /// The grant, or `None` if the request was denied.
+    pub grant: Option<Grant>,
+}
+
+/// Units that were granted to a request, and what the grant still occupies.
+#[derive(Debug)]
+pub(super) struct Grant {
+    /// Units granted.
+    pub units: f64,
+    /// Whether the units count as outstanding under the ceiling.
+    is_outstanding: bool,
+    /// Whether the request counts as in flight.
+    is_in_flight: bool,
+    /// Whether the settlement has arrived.
+    pub is_settled: bool,
+}
+
+impl OwnerQuota {
+    /// Decides on a quota request and spends what is granted. Units that the member has already spent are
+    /// granted in any case.
+    pub fn decide(&mut self, now: Millis, plan: &Plan, request: &QuotaRequest) -> Decision {
+        let is_granted = request.already_spent || self.has_units_for(plan, request);
+        let grant = is_granted.then(|| self.grant(now, plan, request));
+        Decision { quota: request.quota(), decided_at: now, grant }
+    }
+
+    /// Spends the units of a request. Units that the member has already spent are taken from the rate quota
+    /// only: the member has spent its local fraction of the ceiling, and members never spend without asking
+    /// under a plan that limits attempts in flight.
+    fn grant(&mut self, now: Millis, plan: &Plan, request: &QuotaRequest) -> Grant {
+        let units = f64::from(request.units);
+        // Overdrawn by one burst at most, so that the quota is available again after a bounded time.
+        self.tokens.level = (self.tokens.level - units).max(-plan.burst);
+        self.admitted.add(now, units);
+        let is_in_flight = !request.already_spent;
+        let is_outstanding = is_in_flight && plan.has_ceiling();
+        if is_in_flight {
+            self.ceiling.level -= units;
+            self.in_flight += 1;
+        }
+        if is_outstanding {
+            self.outstanding_units += units;
+        }
+        Grant { units, is_outstanding, is_in_flight, is_settled: false }
+    }
+
+    /// Returns whether a request fits within the rate quota, the quota of attempts in flight and the ceiling.
+    fn has_units_for(&self, plan: &Plan, request: &QuotaRequest) -> bool {
+        let units = f64::from(request.units);
+        let is_within_rate = plan.rate <= 0.0 || self.tokens.level >= units;
+        let is_within_in_flight = plan.max_in_flight == 0 || self.in_flight < plan.max_in_flight;
+        let ceiling_floor = -plan.ceiling_slack * self.ceiling_fraction;
+        let is_within_ceiling = !plan.has_ceiling() || self.ceiling.level - units >= ceiling_floor;
+        is_within_rate && is_within_in_flight && is_within_ceiling
+    }
+
+    /// Records that the units of a grant can no longer be spent. Has no effect when repeated.
+    pub fn end_outstanding(&mut self, grant: &mut Grant) {
+        if grant.is_outstanding {
+            grant.is_outstanding = false;
+            self.outstanding_units = (self.outstanding_units - grant.units).max(0.0);
+        }
+    }
+
+    /// Records that the request of a grant is no longer in flight. Has no effect when repeated.
+    pub fn end_in_flight(&mut self, grant: &mut Grant) {
+        if grant.is_in_flight {
+            grant.is_in_flight = false;
+            self.in_flight = self.in_flight.saturating_sub(1);
+        }
+    }
+}
--- a/test.sh
+++ b/test.sh
@@ -21,8 +21,9 @@
     limiter-core/src/gossip/mod.rs
     limiter-core/src/hashing.rs
     limiter-core/src/limiter.rs
+    limiter-core/src/quota/keys.rs
+    limiter-core/src/quota/messages.rs
     limiter-core/src/quota/mod.rs
-    limiter-core/src/quota/records.rs
     limiter-core/src/settings.rs
     limiter-core/src/token_bucket.rs
 )
