--- a/limiter/src/upstream/mod.rs
+++ b/limiter/src/upstream/mod.rs
@@ -13,11 +13,12 @@
 use limiter_core::{Millis, Outcome, ServerId};
 use tokio::sync::oneshot;
 
-use crate::attempt_job::{AttemptId, AttemptJob};
 use crate::config::Config;
-use crate::duration;
 use crate::engine::{Engine, Upstream};
-use crate::metrics::Metrics;
+use crate::messages::attempt::{AttemptId, AttemptJob};
+use crate::observability::labels::ServerConnectionOutcome;
+use crate::observability::metrics::Metrics;
+use crate::runtime::duration;
 use attempt::send_and_receive;
 use connection::{ConnectError, PooledConnection};
 use pool::ConnectionPool;
@@ -38,7 +39,10 @@
     /// Servers reached under this configuration.
     pub fn new(config: &Config) -> Rc<Servers> {
         Rc::new(Servers {
-            pool: RefCell::new(ConnectionPool::new(config.max_server_connections, config.server_idle_ms)),
+            pool: RefCell::new(ConnectionPool::new(
+                config.max_server_connections,
+                config.server_connection_idle_ms,
+            )),
             connect_timeout_ms: config.settings.connect_timeout_ms.max(MIN_CONNECT_TIMEOUT_MS),
             max_request_units: config.max_request_units,
         })
@@ -54,17 +58,19 @@
         // The pool is never borrowed during a wait.
         let pooled = self.pool.borrow_mut().take_idle(server);
         if let Some(connection) = pooled {
-            Metrics::count(&engine.metrics().server_connections, "used again");
+            Metrics::count(&engine.metrics().server_connections, ServerConnectionOutcome::Reused);
             return Ok(connection);
         }
         let permit = self.pool.borrow_mut().reserve().ok_or(ConnectError::NoPermit)?;
         let connect_timeout = duration::from_ms(self.connect_timeout_ms);
         let connected = PooledConnection::connect(address, connect_timeout, permit).await;
         match &connected {
-            Ok(_) => Metrics::count(&engine.metrics().server_connections, "made"),
+            Ok(_) => {
+                Metrics::count(&engine.metrics().server_connections, ServerConnectionOutcome::Established);
+            }
             Err(error) => {
-                Metrics::count(&engine.metrics().server_connections, error.kind());
-                tracing::debug!(%server, %address, reason = %error, "no connection");
+                Metrics::count(&engine.metrics().server_connections, error.connection_outcome());
+                tracing::debug!(%server, %address, %error, "server connection failed");
             }
         }
         connected
@@ -103,12 +109,12 @@
         result = send_and_receive(&servers, &engine, &job) => {
             result.unwrap_or_else(|error| {
                 let AttemptId { request, number: attempt } = job.id;
-                tracing::debug!(request, attempt, server = %job.server, reason = %error, "attempt without response");
+                tracing::debug!(request, attempt, server = %job.server, %error, "attempt failed without response");
                 error.outcome().into()
             })
         }
     };
-    engine.attempt_ended(job.id, result);
+    engine.record_attempt_end(job.id, result);
 }
 
 /// Closes idle connections in time, forever.
