--- a/limiter-core/tests/ceilings.rs
+++ b/limiter-core/tests/ceilings.rs
@@ -1,5 +1,5 @@
-//! Hard ceilings: never overdrawn beyond their slack, whatever the network and the limiters do, and used for the most
-//! part.
+//! Hard ceilings: never overdrawn beyond their slack, whatever the network and the limiters do, and not left
+//! unused.
 
 mod common;
 use std::collections::{BTreeMap, BTreeSet};
@@ -8,7 +8,7 @@
 use limiter_core::*;
 
 #[test]
-fn a_limiter_alone_spends_only_its_even_share_of_a_ceiling() {
+fn a_limiter_without_peers_spends_only_its_even_share_of_a_ceiling() {
     let mut limiter = TestLimiter::new(settings(0), 5);
     limiter.advance(60_000.0);
     let mut units = 0.0;
@@ -17,12 +17,12 @@
         units += 2.0 * forwarded_to(&limiter.submit(request)).len() as f64;
         limiter.respond(id, 5.0);
     }
-    // A third of 60 units and of 3 units of slack.
+    // A third of 60 units, and of 3 units of slack.
     assert!(units <= 21.0, "{units}");
 }
 
 #[test]
-fn a_ceiling_starts_as_if_spent() {
+fn a_ceiling_starts_as_if_it_had_been_spent() {
     let mut limiter = TestLimiter::new(settings(0), 5);
     let mut units = 0;
     for id in 0..100 {
@@ -33,38 +33,41 @@
     for id in 100..200 {
         units += forwarded_to(&limiter.submit(request(id, IDEMPOTENT, WITH_CEILING))).len();
     }
-    assert!((1..=5).contains(&units), "4 units a second: {units}");
+    assert!((1..=5).contains(&units), "{units} at 4 units per second");
 }
 
-/// Guards against the rejections of a start: a ceiling starts as if spent, so that a limiter is ready for clients
-/// once it has filled, or at once where others serve already and a limiter less would be missed.
+/// Guards against rejections after a start, when ceilings are as if they had been spent. A limiter is ready
+/// for clients once its ceilings have filled, or immediately if peers are serving already and need its
+/// capacity.
 #[test]
-fn a_limiter_is_ready_once_its_ceilings_have_filled_or_others_serve() {
+fn a_limiter_is_ready_once_its_ceilings_have_filled_or_peers_serve() {
     let mut network = TestNetwork::new(LIMITERS, 3, 5);
     let is_ready =
         |network: &TestNetwork, limiter: usize| network.limiters[limiter].limiter.is_ready(network.now);
-    // 60 units and a slack of 3 at 12 a second would take 5.75 s.
+    // 60 units and a slack of 3 would take 5.75 s at 12 units per second, but no limiter waits for more than
+    // 5 s.
     network.advance(4900.0);
     assert!(!is_ready(&network, 0));
     network.advance(200.0);
     assert!((0..network.limiters.len()).all(|limiter| is_ready(&network, limiter)));
     network.advance(3000.0);
     network.restart(1, settings(1), 3, 6);
-    assert!(!is_ready(&network, 1), "no gossip from anyone yet");
+    assert!(!is_ready(&network, 1), "no gossip has arrived yet");
     for id in 0..20 {
         network.submit(0, Request { customer: u64::from(id), ..request(id, IDEMPOTENT, WITH_RATE) });
     }
     network.advance(100.0);
-    assert!(is_ready(&network, 1), "others serve");
+    assert!(is_ready(&network, 1), "peers serve");
 }
 
-/// Layout of a gossip message that holds grant replies only; its lines follow a header.
+/// Bytes of the header of a gossip message. The lines follow the header.
 const GOSSIP_HEADER_BYTES: usize = 8;
+/// Bytes of a line with a grant reply.
 const GRANT_REPLY_BYTES: usize = 26;
-/// First byte of a line that grants units; the id of the request follows.
+/// First byte of a line that grants units. The id of the request follows.
 const KIND_GRANTED: u8 = 2;
 
-/// The requests to which an owner's messages grant units.
+/// Returns the requests to which an owner's messages grant units. The messages must hold grant replies only.
 fn granted_ids(messages: &[SentGossip]) -> impl Iterator<Item = RequestId> + '_ {
     let lines =
         messages.iter().flat_map(|message| message.body[GOSSIP_HEADER_BYTES..].chunks(GRANT_REPLY_BYTES));
@@ -72,83 +75,130 @@
     grants.map(|line| RequestId::from_be_bytes(line[1..5].try_into().expect("four bytes")))
 }
 
-/// The limiter that is asked first for the customer's units: the one that asks no other.
+/// Returns the position of the first owner of the customer: the limiter that asks no other limiter.
 fn first_owner() -> u32 {
-    let asks_nobody = |position: &u32| {
+    let asks_no_peer = |position: &u32| {
         let actions = TestLimiter::new(settings(*position), 3).submit(request(1, NON_IDEMPOTENT, WITH_RATE));
         sent_gossip(actions).is_empty()
     };
-    (0..LIMITERS).find(asks_nobody).expect("one of three is the first owner")
+    (0..LIMITERS).find(asks_no_peer).expect("one of three is the first owner")
 }
 
-/// Units of a ceiling that its first owner grants within `ms` to one member that asks all the time, the two having
-/// run for `uptime_ms` before.
-fn units_granted(uptime_ms: Millis, ms: u32) -> usize {
-    let started_before = |position| {
-        let mut limiter = TestLimiter::new(settings(position), 3);
-        limiter.advance(uptime_ms);
-        limiter
-    };
-    let owner_position = first_owner();
-    let member_position = (owner_position + 1) % LIMITERS;
-    let (mut member, mut owner) = (started_before(member_position), started_before(owner_position));
-    let mut granted = BTreeSet::new();
-    // What the member spends of its own share is reported to the owner, not granted by it.
-    let mut spent_locally = BTreeSet::new();
-    for id in 0..ms / 2 {
-        let mut member_actions = member.submit(request(id, NON_IDEMPOTENT, WITH_CEILING));
+/// The first owner of a customer and one other member, which exchange gossip without delay.
+struct MemberAndOwner {
+    member_position: u32,
+    owner_position: u32,
+    member: TestLimiter,
+    owner: TestLimiter,
+    /// Requests to which the owner has granted units.
+    granted: BTreeSet<RequestId>,
+    /// Requests whose units the member has spent from its even share. The owner reports these units as
+    /// granted too.
+    spent_locally: BTreeSet<RequestId>,
+}
+
+impl MemberAndOwner {
+    /// Starts both limiters and advances them by `uptime_ms`.
+    fn with_uptime(uptime_ms: Millis) -> Self {
+        let owner_position = first_owner();
+        let member_position = (owner_position + 1) % LIMITERS;
+        let mut member = TestLimiter::new(settings(member_position), 3);
+        member.advance(uptime_ms);
+        let mut owner = TestLimiter::new(settings(owner_position), 3);
+        owner.advance(uptime_ms);
+        MemberAndOwner {
+            member_position,
+            owner_position,
+            member,
+            owner,
+            granted: BTreeSet::new(),
+            spent_locally: BTreeSet::new(),
+        }
+    }
+
+    /// Submits a request to the member, and exchanges the gossip of 2 ms.
+    fn step(&mut self, id: RequestId) {
+        let mut member_actions = self.member.submit(request(id, NON_IDEMPOTENT, WITH_CEILING));
         if is_forwarded(&member_actions) {
-            spent_locally.insert(id);
+            self.spent_locally.insert(id);
         }
-        member_actions.extend(member.advance(2.0));
-        let mut owner_actions = owner.advance(2.0);
+        member_actions.extend(self.member.advance(2.0));
+        let mut owner_actions = self.owner.advance(2.0);
         for SentGossip { to, body } in sent_gossip(member_actions) {
-            if to == owner_position {
-                owner_actions.extend(owner.receive_gossip(member_position, body));
+            if to == self.owner_position {
+                owner_actions.extend(self.owner.receive_gossip(self.member_position, body));
             }
         }
         let replies = sent_gossip(owner_actions);
         for reply in &replies {
-            member.receive_gossip(owner_position, reply.body.clone());
+            self.member.receive_gossip(self.owner_position, reply.body.clone());
         }
-        granted.extend(granted_ids(&replies));
+        self.granted.extend(granted_ids(&replies));
+    }
+
+    /// Records the grants that are still queued at the owner.
+    fn drain_owner(&mut self) {
+        let replies = sent_gossip(self.owner.advance(300.0));
+        self.granted.extend(granted_ids(&replies));
     }
-    granted.extend(granted_ids(&sent_gossip(owner.advance(300.0))));
-    granted.difference(&spent_locally).count()
 }
 
-/// Outstanding grants count against the depth of the owner's bucket: spent late, they would come on top of what has
-/// been refilled.
+/// Returns the units of a ceiling that its first owner grants within `ms` to one member that always asks for
+/// more, after both have run for `uptime_ms`.
+fn units_granted(uptime_ms: Millis, ms: u32) -> usize {
+    let mut limiters = MemberAndOwner::with_uptime(uptime_ms);
+    for id in 0..ms / 2 {
+        limiters.step(id);
+    }
+    limiters.drain_owner();
+    limiters.granted.difference(&limiters.spent_locally).count()
+}
+
+/// Outstanding grants lower the capacity of the owner's bucket. Otherwise grants that are spent late would
+/// add to the units that have been refilled.
 #[test]
 fn outstanding_grants_leave_less_room_to_refill() {
-    // 0.62 of a bucket of 60 and of a slack of 3.
+    // 0.62 of a bucket of 60 units, and of a slack of 3, is 39 units.
     let units = units_granted(60_000.0, 460);
     assert!((30..=39).contains(&units), "{units}");
 }
 
-/// What an owner granted before its restart may still be spent for half a second.
+/// Units that an owner granted before its restart may still be spent for half a second.
 #[test]
 fn an_owner_that_has_just_started_grants_nothing_until_its_old_grants_have_expired() {
     assert_eq!(units_granted(0.0, 480), 0);
     assert!(units_granted(0.0, 1500) > 0);
 }
 
+/// Number of limiters in an [`UnreliableNetwork`].
 const UNRELIABLE_LIMITERS: u32 = 6;
+/// Number of servers in an [`UnreliableNetwork`].
 const UNRELIABLE_SERVERS: u32 = 4;
+/// Number of customers in an [`UnreliableNetwork`].
 const UNRELIABLE_CUSTOMERS: usize = 3;
 
-/// Six limiters admit requests of three customers under a ceiling. Messages are lost, late and out of order; limiters
-/// stall, restart and get all their backlog at once.
+/// Identifies a request at one limiter.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct SubmissionKey {
+    limiter: usize,
+    id: RequestId,
+}
+
+/// Six limiters that admit requests of three customers under a ceiling. Messages are lost, delayed and
+/// reordered, and limiters restart, or stall and receive their whole backlog afterwards.
 struct UnreliableNetwork {
     network: TestNetwork,
     rng: fastrand::Rng,
+    /// The true ceiling of each customer.
     ceilings: Vec<ReferenceBucket>,
-    submitted: BTreeMap<(usize, RequestId), Request>,
+    submitted: BTreeMap<SubmissionKey, Request>,
+    /// Lowest level of any true ceiling so far.
     lowest_level: f64,
     admitted_units: f64,
 }
 
 impl UnreliableNetwork {
+    /// Draws the loss and the delay of messages from the seed.
     fn new(seed: u64) -> Self {
         let mut network = TestNetwork::new(UNRELIABLE_LIMITERS, UNRELIABLE_SERVERS, seed);
         let mut rng = fastrand::Rng::with_seed(seed);
@@ -165,7 +215,7 @@
         }
     }
 
-    /// A limiter drawn by chance restarts, stalls or gets a request; then some time passes.
+    /// Restarts or stalls a random limiter, or submits a request to it. Then advances the clock.
     fn step(&mut self, id: RequestId) {
         let limiter = self.rng.usize(0..UNRELIABLE_LIMITERS as usize);
         let mut actions = Vec::new();
@@ -186,6 +236,7 @@
         self.account_for(actions);
     }
 
+    /// Submits a request of one to three units by a random customer.
     fn submit(&mut self, limiter: usize, id: RequestId) -> Vec<LimiterAction> {
         let request = Request {
             customer: self.rng.u64(0..UNRELIABLE_CUSTOMERS as u64),
@@ -193,15 +244,15 @@
             member_count: UNRELIABLE_LIMITERS,
             ..request(id, NON_IDEMPOTENT, WITH_CEILING)
         };
-        self.submitted.insert((limiter, id), request.clone());
+        self.submitted.insert(SubmissionKey { limiter, id }, request.clone());
         self.network.submit(limiter, request)
     }
 
-    /// Takes what was forwarded off the true ceilings; it has a good response.
+    /// Takes the units of forwarded requests from the true ceilings, and reports good responses.
     fn account_for(&mut self, actions: Vec<LimiterAction>) {
         for LimiterAction { limiter, action } in actions {
             let Action::Forward { id, .. } = action else { continue };
-            let request = &self.submitted[&(limiter, id)];
+            let request = &self.submitted[&SubmissionKey { limiter, id }];
             let ceiling = &mut self.ceilings[request.customer as usize];
             let level = ceiling.take(request.cost_units, self.network.now);
             self.lowest_level = self.lowest_level.min(level);
@@ -212,7 +263,7 @@
 }
 
 #[test]
-fn ceilings_hold_over_lossy_late_links_with_stalls_and_restarts() {
+fn ceilings_hold_with_lost_and_delayed_messages_stalls_and_restarts() {
     const SEEDS: u64 = 60;
     let slack = settings(0).plans[WITH_CEILING].ceiling_slack;
     let mut total_units = 0.0;
@@ -226,6 +277,7 @@
         total_units += unreliable.admitted_units;
     }
     let mean_units = total_units / SEEDS as f64;
-    // Most of the ceiling is used: three customers at 12 units a second for some 26 s, and their buckets.
+    // Three customers with 12 units per second for about 26 s and a full bucket of 60 may spend about 1,100
+    // units.
     assert!(mean_units > 300.0, "{mean_units}");
 }
--- a/limiter-core/tests/common/reference_bucket.rs
+++ b/limiter-core/tests/common/reference_bucket.rs
@@ -1,8 +1,8 @@
-//! The bucket of a quota or ceiling as seen from outside, summed over all limiters.
+//! A token bucket outside of the limiters, against which tests check what all limiters admit together.
 
 use limiter_core::*;
 
-/// A token bucket kept outside of the limiters: what they admit together is checked against it.
+/// The true bucket of a quota or ceiling. Tests take the units of each forwarded request from it.
 #[derive(Debug, Clone)]
 pub struct ReferenceBucket {
     rate: f64,
@@ -12,28 +12,31 @@
 }
 
 impl ReferenceBucket {
+    /// Returns a full bucket that refills at `rate` units per second.
     pub fn full(rate: f64, burst: f64, now: Millis) -> Self {
         ReferenceBucket { rate, burst, level: burst, refilled_at: now }
     }
 
+    /// Returns the full bucket of a plan's ceiling.
     pub fn full_ceiling_of(plan: &Plan, now: Millis) -> Self {
         ReferenceBucket::full(plan.ceiling_rate, plan.ceiling_burst, now)
     }
 
+    /// Adds the units that have accrued since the last refill.
     fn refill(&mut self, now: Millis) {
         let elapsed_ms = now - self.refilled_at;
         self.level = (self.level + self.rate * elapsed_ms / 1000.0).min(self.burst);
         self.refilled_at = now;
     }
 
-    /// Takes units whether they are there or not; returns the level, which is negative after an overdraft.
+    /// Takes units unconditionally and returns the new level, which is negative after an overdraft.
     pub fn take(&mut self, units: f64, now: Millis) -> f64 {
         self.refill(now);
         self.level -= units;
         self.level
     }
 
-    /// Takes units if they are there.
+    /// Takes units if the bucket holds them, and returns whether it did.
     pub fn try_take(&mut self, units: f64, now: Millis) -> bool {
         self.refill(now);
         let is_enough = self.level >= units;
--- a/limiter-core/tests/common/test_fleet.rs
+++ b/limiter-core/tests/common/test_fleet.rs
@@ -1,4 +1,4 @@
-//! A fleet of limiters that share servers and customers, and whose messages are late and lost.
+//! A fleet of limiters with servers and clients, on a network that delays and loses messages.
 
 use std::collections::HashMap;
 
@@ -6,32 +6,34 @@
 
 use super::{attempt_ended, endpoints_changed, server, settings_among, take_due, LimiterAction, TestNetwork};
 
-/// Added to a request's id for each retry by its client: to the limiters a retry is a new request.
+/// Added to the id of a request for each retry by its client, because a retry is a new request for the
+/// limiters.
 pub const CLIENT_RETRY_ID_STEP: RequestId = 1_000_000;
-/// A client retries after this time and up to as much again by chance.
+/// Shortest backoff of a client before a retry.
 const CLIENT_BACKOFF_MS: Millis = 100.0;
+/// Upper bound of the random jitter that is added to the backoff.
 const CLIENT_BACKOFF_JITTER_MS: Millis = 200.0;
 
-/// Time until a server responds.
+/// Time after which a server responds.
 const SERVICE_TIME_MS: Millis = 100.0;
-/// Time until a server rejects what is beyond its capacity.
+/// Time after which a full server rejects a request.
 const REJECTION_TIME_MS: Millis = 5.0;
-/// Time over which a server counts what it has accepted.
+/// Window over which a server counts the requests that it has accepted.
 const CAPACITY_WINDOW_MS: Millis = 1000.0;
 
-/// Time passes in steps of this length.
+/// Step by which the clock of the fleet advances.
 const STEP_MS: Millis = 8.0;
 
-/// An attempt as a limiter forwarded it.
+/// An attempt that a limiter forwarded.
 pub struct ForwardedAttempt {
     pub at: Millis,
     pub id: RequestId,
     pub server: ServerId,
-    /// The server was full.
+    /// Whether the server was full and rejected the attempt.
     pub rejected: bool,
 }
 
-/// The response of a server that is still to come.
+/// A response that a server will send.
 struct PendingResponse {
     due_at: Millis,
     limiter: usize,
@@ -40,33 +42,37 @@
     rejected: bool,
 }
 
-/// A client that was rejected and comes again.
+/// A retry that a rejected client will make.
 struct ClientRetry {
     due_at: Millis,
     id: RequestId,
 }
 
-/// A fleet before servers that respond after a fixed time; it records what was forwarded to them.
+/// A fleet in front of servers that respond after a fixed time. Records all forwarded attempts.
 pub struct TestFleet {
     pub network: TestNetwork,
     rng: fastrand::Rng,
     pending_responses: Vec<PendingResponse>,
-    /// Requests a second that each server accepts; it rejects what is beyond.
+    /// Requests per second that each server accepts. Further requests are rejected.
     pub server_capacity_per_s: f64,
     last_id: RequestId,
-    /// Most submissions of one request by its client, the first included, each at a member drawn anew.
+    /// Bound on the submissions of one request by its client, including the first. Each submission goes to a
+    /// random member.
     pub max_client_attempts: u32,
     client_retries: Vec<ClientRetry>,
+    /// Number of attempts forwarded for each request.
     num_attempts: HashMap<RequestId, u32>,
+    /// All attempts forwarded so far, in order.
     pub forwarded: Vec<ForwardedAttempt>,
 }
 
 impl TestFleet {
+    /// Starts a fleet with the common settings in front of the first `servers` servers.
     pub fn new(limiters: u32, servers: u32, seed: u64) -> TestFleet {
         TestFleet::with_settings(limiters, servers, seed, |position| settings_among(limiters, position))
     }
 
-    /// With settings of its own for each position.
+    /// Starts a fleet with the settings that `settings` returns for each position.
     pub fn with_settings(
         limiters: u32,
         servers: u32,
@@ -86,7 +92,7 @@
         }
     }
 
-    /// Has a limiter handle an event and servers and clients act on what it does.
+    /// Lets a limiter handle an event, and lets servers and clients react to its actions.
     pub fn handle(&mut self, limiter: usize, event: Event) {
         let actions = self.network.handle(limiter, event);
         for action in actions {
@@ -94,6 +100,7 @@
         }
     }
 
+    /// Lets a client or a server react to an action.
     fn apply(&mut self, limiter: usize, action: Action) {
         match action {
             Action::Reject { id, .. } if id / CLIENT_RETRY_ID_STEP + 1 < self.max_client_attempts => {
@@ -106,6 +113,7 @@
         }
     }
 
+    /// Records a forwarded attempt and schedules the response of the server.
     fn receive_at_server(&mut self, limiter: usize, id: RequestId, server: ServerId) {
         let now = self.network.now;
         let rejected = self.is_full(&server);
@@ -122,6 +130,7 @@
         self.forwarded.push(ForwardedAttempt { at: now, id, server, rejected });
     }
 
+    /// Returns whether a server has accepted as many requests as its capacity allows.
     fn is_full(&self, server: &ServerId) -> bool {
         if self.server_capacity_per_s.is_infinite() {
             return false;
@@ -132,27 +141,29 @@
         accepted as f64 >= self.server_capacity_per_s
     }
 
-    /// Discovery announces changed servers to all limiters.
+    /// Announces changed servers to all limiters.
     pub fn change_endpoints(&mut self, endpoints: Vec<Endpoint>) {
         for limiter in 0..self.network.limiters.len() {
             self.handle(limiter, endpoints_changed(endpoints.clone()));
         }
     }
 
-    /// Replaces a limiter by a new process; the responses to the old one are lost.
+    /// Restarts a limiter. Responses to the old process are lost.
     pub fn restart(&mut self, limiter: usize, settings: Settings, servers: u32, seed: u64) {
         self.pending_responses.retain(|response| response.limiter != limiter);
         self.network.restart(limiter, settings, servers, seed);
     }
 
-    /// Attempts forwarded from a moment on to the servers that `which` picks by number.
+    /// Returns the number of attempts forwarded since a given time to the servers whose number `which`
+    /// accepts.
     pub fn num_forwarded_to(&self, from: Millis, which: impl Fn(u32) -> bool) -> usize {
         let servers: Vec<ServerId> = (0..200).filter(|n| which(*n)).map(server).collect();
         let counts = |attempt: &&ForwardedAttempt| attempt.at >= from && servers.contains(&attempt.server);
         self.forwarded.iter().filter(counts).count()
     }
 
-    /// Requests of one unit arrive evenly spaced, each at a member drawn anew; returns how many were forwarded.
+    /// Submits evenly spaced requests, each to a random member, and advances the clock. Returns the number of
+    /// forwarded attempts.
     pub fn run(&mut self, requests_per_s: f64, seconds: f64, request: impl Fn(RequestId) -> Request) -> u32 {
         let num_before = self.forwarded.len();
         let end = self.network.now + 1000.0 * seconds;
@@ -175,12 +186,14 @@
         (self.forwarded.len() - num_before) as u32
     }
 
+    /// Submits a request to a random member of its customer's quota.
     fn submit_at_any_member(&mut self, request: Request) {
         let member = request.first_member + self.rng.u32(0..request.member_count);
         let limiter = member as usize % self.network.limiters.len();
         self.handle(limiter, Event::RequestArrived(request));
     }
 
+    /// Reports the ends of all attempts whose responses are due.
     fn deliver_due_responses(&mut self) {
         let now = self.network.now;
         for response in take_due(&mut self.pending_responses, |response| response.due_at <= now) {
--- a/limiter-core/tests/common/test_network.rs
+++ b/limiter-core/tests/common/test_network.rs
@@ -1,4 +1,4 @@
-//! Several limiters and the gossip between them.
+//! Several limiters and the network that delivers gossip between them.
 
 use std::ops::Range;
 
@@ -6,11 +6,12 @@
 
 use super::{attempt_ended, settings_among, take_due, TestLimiter};
 
-/// Time passes for all limiters in steps of this length.
+/// Step in milliseconds by which the clock of the network advances.
 const STEP_MS: Millis = 4.0;
-/// The most bytes that a gossip message may have.
+/// Bound on the bytes of a gossip message, according to the operators' protocol.
 const MAX_MESSAGE_BYTES: usize = 256;
 
+/// A gossip message that has been sent and not been delivered.
 struct Datagram {
     arrives_at: Millis,
     from: u32,
@@ -18,38 +19,45 @@
     body: Vec<u8>,
 }
 
-/// What one limiter of a network did.
+/// An action of one limiter of a network.
 #[derive(Debug)]
 pub struct LimiterAction {
+    /// Position of the limiter.
     pub limiter: usize,
     pub action: Action,
 }
 
+/// Returns the number of forwarded attempts among the actions.
 pub fn num_forwarded(actions: &[LimiterAction]) -> usize {
     actions.iter().filter(|done| matches!(done.action, Action::Forward { .. })).count()
 }
 
-/// Limiters on a network that delays messages at random, so that they overtake each other, and may lose them.
+/// Limiters on a network that delays messages at random, so that messages are reordered, and may lose
+/// messages.
 pub struct TestNetwork {
+    /// The limiters by position.
     pub limiters: Vec<TestLimiter>,
     pub now: Millis,
     in_transit: Vec<Datagram>,
     rng: fastrand::Rng,
     /// Probability that a message is lost.
     pub loss: f64,
+    /// Bounds of the random delay of a message.
     pub delay_ms: Range<Millis>,
-    /// For each limiter: nothing happens there before this moment.
+    /// For each limiter: the time until which its process is stalled and handles neither timers nor messages.
     pub stalled_until: Vec<Millis>,
-    /// Messages sent so far, the lost ones included.
+    /// Number of messages sent so far, including lost messages.
     pub messages_sent: u32,
 }
 
 impl TestNetwork {
+    /// Starts limiters with the common settings in front of the first `servers` servers.
     pub fn new(limiters: u32, servers: u32, seed: u64) -> Self {
         let settings = (0..limiters).map(|position| settings_among(limiters, position)).collect();
         TestNetwork::with_settings(settings, servers, seed)
     }
 
+    /// Starts one limiter for each of the settings, in front of the first `servers` servers.
     pub fn with_settings(settings: Vec<Settings>, servers: u32, seed: u64) -> Self {
         let limiters: Vec<TestLimiter> = settings.into_iter().map(|s| TestLimiter::new(s, servers)).collect();
         TestNetwork {
@@ -64,7 +72,7 @@
         }
     }
 
-    /// Puts the gossip among a limiter's actions on the network; returns the other actions.
+    /// Sends the gossip among a limiter's actions over the network and returns the other actions.
     fn transmit(&mut self, from: usize, actions: Vec<Action>) -> Vec<Action> {
         let mut others = Vec::new();
         for action in actions {
@@ -88,7 +96,7 @@
         others
     }
 
-    /// Has a limiter handle an event; its gossip goes on the network.
+    /// Lets a limiter handle an event now, sends its gossip and returns its other actions.
     pub fn handle(&mut self, limiter: usize, event: Event) -> Vec<Action> {
         let test_limiter = &mut self.limiters[limiter];
         test_limiter.now = test_limiter.now.max(self.now);
@@ -96,17 +104,18 @@
         self.transmit(limiter, actions)
     }
 
+    /// Submits a request to a limiter.
     pub fn submit(&mut self, limiter: usize, request: Request) -> Vec<LimiterAction> {
         let actions = self.handle(limiter, Event::RequestArrived(request));
         actions.into_iter().map(|action| LimiterAction { limiter, action }).collect()
     }
 
-    /// The first attempt of a request has a good response.
+    /// Reports a good response to the first attempt of a request.
     pub fn respond(&mut self, limiter: usize, id: RequestId, elapsed_ms: Millis) {
         self.handle(limiter, attempt_ended(id, 0, Outcome::Ok, elapsed_ms));
     }
 
-    /// Every attempt that was forwarded has a good response; returns how many there are.
+    /// Reports a good response to every attempt that the actions forward, and returns the number of attempts.
     pub fn respond_to_forwarded(&mut self, actions: &[LimiterAction], elapsed_ms: Millis) -> usize {
         for LimiterAction { limiter, action } in actions {
             if let Action::Forward { id, .. } = action {
@@ -116,7 +125,7 @@
         num_forwarded(actions)
     }
 
-    /// Lets time pass at all limiters that are not stalled: timers fire and messages arrive.
+    /// Advances the clock. Timers fire and messages arrive at all limiters that are not stalled.
     pub fn advance(&mut self, ms: Millis) -> Vec<LimiterAction> {
         let mut all = Vec::new();
         let end = self.now + ms;
@@ -133,7 +142,8 @@
         all
     }
 
-    /// Brings one limiter to the present: its timers first, then the messages that have arrived.
+    /// Advances one limiter to the network's time: fires its timers, then delivers the messages that have
+    /// arrived.
     fn catch_up(&mut self, limiter: usize) -> Vec<Action> {
         let now = self.now;
         let elapsed_ms = (now - self.limiters[limiter].now).max(0.0);
@@ -145,7 +155,7 @@
         self.transmit(limiter, actions)
     }
 
-    /// Replaces a limiter by a new process, which knows nothing but the endpoint list.
+    /// Restarts a limiter: the new process knows only the endpoint list.
     pub fn restart(&mut self, limiter: usize, settings: Settings, servers: u32, seed: u64) {
         self.limiters[limiter] = TestLimiter::started_at(self.now, settings, seed, servers);
     }
--- a/limiter-core/tests/fleet.rs
+++ b/limiter-core/tests/fleet.rs
@@ -1,48 +1,59 @@
-//! What is harmless at one limiter must be harmless at hundreds: claims about a whole fleet, with limiters that share
-//! servers and customers and whose messages are late and lost.
+//! Behaviour of a whole fleet of up to hundreds of limiters, which share servers and customers and whose
+//! messages are delayed and lost. An effect that is harmless at one limiter must not add up to a harmful one.
 
 mod common;
 
 use common::*;
 use limiter_core::*;
 
+/// Number of limiters in most tests.
 const FLEET_SIZE: u32 = 100;
+/// Units per second of the plan [`WITH_RATE`].
+const QUOTA_RATE: f64 = 6.0;
+/// Burst in units of the plan [`WITH_RATE`].
+const QUOTA_BURST: f64 = 12.0;
 
-/// A customer of 80 limiters, at the plan of 6 units a second and a burst of 12.
+/// Returns the units that a customer on the plan [`WITH_RATE`] may spend within a time, starting with a full
+/// bucket.
+fn quota_over(seconds: f64) -> f64 {
+    QUOTA_BURST + QUOTA_RATE * seconds
+}
+
+/// A request of a customer with 80 members, on the plan [`WITH_RATE`].
 fn of_customer_with_80_members(id: RequestId) -> Request {
     Request { member_count: 80, first_member: 35, ..request(id, IDEMPOTENT, WITH_RATE) }
 }
 
-/// Guards against what one limiter lets through without asking, times eighty.
+/// Guards against a number of requests that each member admits without asking, times eighty.
 #[test]
 fn a_quota_holds_over_eighty_members() {
     let mut fleet = TestFleet::new(FLEET_SIZE, 20, 1);
     fleet.network.loss = 0.05;
-    let quota = 12.0 + 6.0 * 8.0;
+    let quota = quota_over(8.0);
     let units = f64::from(fleet.run(30.0, 8.0, of_customer_with_80_members));
     assert!(units <= 1.15 * quota, "{units} units forwarded, {quota} allowed");
     assert!(units >= 0.85 * quota, "{units} units forwarded of {quota}: the quota is wasted");
 }
 
-/// Without a reply from any owner the members still spend about the quota together, neither each its own request nor
-/// nothing.
+/// Without a reply from any owner the members together still spend about the quota: neither one request each,
+/// nor nothing.
 #[test]
 fn eighty_members_without_owners_spend_about_the_quota() {
     let mut fleet = TestFleet::new(FLEET_SIZE, 20, 2);
     fleet.network.loss = 1.0;
-    let quota = 12.0 + 6.0 * 12.0;
+    let quota = quota_over(12.0);
     let units = f64::from(fleet.run(30.0, 12.0, of_customer_with_80_members));
     assert!(units <= 1.25 * quota, "{units} units forwarded, {quota} allowed");
     assert!(units >= 0.6 * quota, "{units} units forwarded of {quota}: the quota is wasted");
 }
 
-/// At any limiter, without a quota.
+/// A request at any limiter, without a quota.
 fn without_quota(id: RequestId) -> Request {
     Request { member_count: FLEET_SIZE, ..request(id, IDEMPOTENT, UNLIMITED) }
 }
 
-/// Six in ten servers are replaced: what the fleet may forward to a cold one is forwarded, whichever limiters meet
-/// it, and no moment brings it more than it can stand.
+/// Six in ten servers are replaced. The fleet forwards to a cold server what the server may get, whichever
+/// limiters use the server, and never more than the server can take.
 #[test]
 fn cold_servers_get_their_share_from_the_whole_fleet_and_no_more() {
     let mut fleet = TestFleet::new(FLEET_SIZE, 60, 3);
@@ -54,7 +65,7 @@
     fleet.run(400.0, 2.0, without_quota);
     for n in 100..136 {
         let forwarded = fleet.num_forwarded_to(replaced_at, |to| to == n) as f64;
-        // A cold server has a fifth of its capacity, and fails under three times that in 2 s.
+        // A cold server has a fifth of its capacity, and fails under three times that load for 2 s.
         assert!(forwarded <= 3.0 * 0.2 * warm_per_s * 2.0, "{forwarded} attempts in 2 s at cold server {n}");
     }
     let to_draining = fleet.num_forwarded_to(replaced_at, |n| (24..60).contains(&n));
@@ -66,7 +77,8 @@
     assert!(to_cold * 4 >= all, "{to_cold} of {all} attempts at 36 servers that are half warm");
 }
 
-/// Limiters that have just started, as most do in a release, use cold servers from their first seconds on.
+/// Limiters that have just started, as most limiters do in a release, use cold servers from their first
+/// seconds on.
 #[test]
 fn limiters_that_have_just_started_use_cold_servers() {
     let mut fleet = TestFleet::new(FLEET_SIZE, 24, 4);
@@ -79,7 +91,8 @@
     assert!(to_cold * 10 >= all * 3, "{to_cold} of {all} attempts at 36 servers that are half warm");
 }
 
-/// One of 6,000 customers, each far inside its quota, with requests at 160 of 200 limiters.
+/// A request of one of 6,000 customers with 160 members each of 200 limiters. Each demand is far below the
+/// quota.
 fn of_customer_inside_quota(id: RequestId) -> Request {
     let customer = u64::from(id % CLIENT_RETRY_ID_STEP) % 6000;
     Request {
@@ -90,9 +103,10 @@
     }
 }
 
-/// For some seconds no message arrives, so that each request asks its owners again and again, more than the allowance
-/// for messages lets through, and clients that are rejected come again. Guards against a queue that outlives this:
-/// replies that wait behind it come too late, are asked for again and keep it long.
+/// All messages are lost for some seconds. Each request then causes repeated quota requests, more than the
+/// allowance for messages, and rejected clients retry. Guards against a queue of messages that stays long
+/// afterwards: replies at its end would arrive too late and be requested again, which would lengthen the
+/// queue.
 #[test]
 fn gossip_recovers_after_a_backlog_of_lost_quota_requests() {
     let mut fleet = TestFleet::new(200, 20, 5);
@@ -106,8 +120,8 @@
     assert!(forwarded >= 9000, "{forwarded} of 10000 requests inside their quotas were forwarded");
 }
 
-/// While no message arrives at all, customers far inside their quotas go on being served, as before, and soon: each
-/// member alone has a hundredth of a request for each.
+/// While all messages are lost, customers far below their quotas are still served, and without delay,
+/// although the even share of each member holds only a fraction of a request.
 #[test]
 fn customers_inside_their_quota_are_served_while_all_owners_are_silent() {
     let mut fleet = TestFleet::new(200, 20, 7);
@@ -118,7 +132,8 @@
     let forwarded = fleet.run(3000.0, 2.0, of_customer_inside_quota);
     assert!(forwarded >= 5400, "{forwarded} of 6000 requests were forwarded");
     let messages = fleet.network.messages_sent - messages_before;
-    // Some four a second for each limiter, to find when the others are back, and a few more until all seem silent.
+    // About four messages per second and limiter, which find out when the owners reply again, and a few more
+    // until all owners count as silent.
     assert!(messages <= 200 * 2 * 8, "{messages} messages to owners that receive none");
     fleet.network.loss = 0.0;
     fleet.run(3000.0, 1.0, of_customer_inside_quota);
@@ -127,22 +142,25 @@
     assert!(fleet.network.messages_sent - messages_before > 3000, "owners are asked again");
 }
 
-/// A customer known to demand ten times its quota is held to a few times that by chance, though no owner keeps its
-/// quota.
+/// A customer that is known to demand ten times its quota gets at most three times the quota while no owner
+/// replies, because members admit its requests at random.
 #[test]
 fn a_greedy_customer_gains_little_while_all_owners_are_silent() {
     let mut fleet = TestFleet::new(FLEET_SIZE, 20, 8);
     fleet.run(60.0, 4.0, of_customer_with_80_members);
     fleet.network.loss = 1.0;
     let units = f64::from(fleet.run(60.0, 6.0, of_customer_with_80_members));
-    let quota = 6.0 * 6.0;
+    let quota = QUOTA_RATE * 6.0;
     assert!(units <= 3.0 * quota, "{units} units forwarded, {quota} allowed, ten times as much demanded");
 }
 
-/// One of 100 customers, each of 100 limiters of 300: one in ten demands three times its quota, one in five nearly
-/// all of it.
+/// Number of customers on a quiet day.
+const QUIET_DAY_CUSTOMERS: usize = 100;
+
+/// A request of one of 100 customers with 100 members each of 300 limiters. One customer in ten demands three
+/// times its quota, and one in five nearly all of its quota.
 fn of_customer_on_a_quiet_day(id: RequestId) -> Request {
-    // Requests come in turns of 200 slots for 100 customers.
+    // The customers of 200 consecutive requests repeat, in a scattered order.
     let slot = u64::from(id) * 7919 % 200;
     let customer = if slot < 60 {
         slot % 10
@@ -159,72 +177,113 @@
     }
 }
 
-/// On a quiet day hundreds of limiters together keep the quotas, though messages get lost and limiters start again
-/// with nothing: what passes beyond is at most a tenth of what passes inside.
+/// Units that a fleet forwarded, compared with the true quotas of the customers.
+struct QuotaUsage {
+    /// The true quota of each customer.
+    quotas: Vec<ReferenceBucket>,
+    units_within: u32,
+    units_beyond: u32,
+}
+
+impl QuotaUsage {
+    fn new(now: Millis) -> Self {
+        QuotaUsage {
+            quotas: vec![ReferenceBucket::full(QUOTA_RATE, QUOTA_BURST, now); QUIET_DAY_CUSTOMERS],
+            units_within: 0,
+            units_beyond: 0,
+        }
+    }
+
+    /// Takes the unit of each forwarded request from the quota of its customer.
+    fn account_for(&mut self, attempts: &[ForwardedAttempt]) {
+        for attempt in attempts {
+            let customer = of_customer_on_a_quiet_day(attempt.id).customer;
+            if self.quotas[customer as usize].try_take(1.0, attempt.at) {
+                self.units_within += 1;
+            } else {
+                self.units_beyond += 1;
+            }
+        }
+    }
+}
+
+/// On a quiet day hundreds of limiters together hold the quotas, although messages are lost and limiters
+/// restart without any state: at most a tenth as many units are forwarded beyond the quotas as within.
 #[test]
-fn three_hundred_limiters_keep_the_quotas_over_restarts_and_losses() {
+fn three_hundred_limiters_hold_the_quotas_over_restarts_and_losses() {
     const LIMITERS: u32 = 300;
     const SERVERS: u32 = 60;
     let mut fleet = TestFleet::new(LIMITERS, SERVERS, 6);
     fleet.network.loss = 0.05;
-    // 6 units a second for each of 100 customers is 600; heavy ones demand 18 of it.
+    // The quotas of 100 customers are 6 units per second each. Heavy customers demand 18 units per second
+    // each.
     let requests_per_s = 600.0;
-    let (mut inside, mut beyond) = (0u32, 0u32);
-    let mut quotas = vec![ReferenceBucket::full(6.0, 12.0, fleet.network.now); 100];
+    let mut usage = QuotaUsage::new(fleet.network.now);
     for second in 0..10 {
         let num_before = fleet.forwarded.len();
         fleet.run(requests_per_s, 1.0, of_customer_on_a_quiet_day);
-        for attempt in &fleet.forwarded[num_before..] {
-            let customer = of_customer_on_a_quiet_day(attempt.id).customer;
-            if quotas[customer as usize].try_take(1.0, attempt.at) {
-                inside += 1;
-            } else {
-                beyond += 1;
-            }
-        }
-        // One in ten limiters each other second, drawn by number.
-        for position in (0..LIMITERS).filter(|position| second % 2 == 1 && position % 10 == second) {
+        usage.account_for(&fleet.forwarded[num_before..]);
+        // One in ten limiters restarts every other second.
+        let is_restarted = |position: &u32| second % 2 == 1 && position % 10 == second;
+        for position in (0..LIMITERS).filter(is_restarted) {
             let seed = 1000 + u64::from(second * LIMITERS + position);
             fleet.restart(position as usize, settings_among(LIMITERS, position), SERVERS, seed);
         }
     }
-    assert!(beyond * 10 <= inside, "{beyond} units beyond the quotas, {inside} inside");
-    assert!(inside >= 3500, "{inside} units inside the quotas were forwarded of some 4,500 demanded");
+    let QuotaUsage { units_within, units_beyond, .. } = usage;
+    assert!(
+        units_beyond * 10 <= units_within,
+        "{units_beyond} units beyond the quotas, {units_within} within"
+    );
+    assert!(units_within >= 3500, "{units_within} units within the quotas forwarded of about 4,500 demanded");
 }
 
-/// Endpoint lists are subscribed to, and discovery tells a third of the limiters that servers are draining while it
-/// fails the others: these learn it from their peers within the time after which a change counts as announced, 6 s,
-/// and forward nothing there. What a peer says of a server holds until discovery names it, and not for its next
-/// start.
-#[test]
-fn limiters_that_discovery_fails_learn_of_departed_servers_from_their_peers() {
-    const LIMITERS: u32 = 60;
-    let mut fleet = TestFleet::with_settings(LIMITERS, 24, 9, |position| Settings {
-        must_subscribe: true,
-        ..settings_among(LIMITERS, position)
-    });
+/// Number of limiters in the test of a partial failure of discovery.
+const SUBSCRIBED_LIMITERS: u32 = 60;
+
+/// Starts a fleet that subscribes to discovery.
+fn subscribed_fleet() -> TestFleet {
+    let settings =
+        |position| Settings { must_subscribe: true, ..settings_among(SUBSCRIBED_LIMITERS, position) };
+    let mut fleet = TestFleet::with_settings(SUBSCRIBED_LIMITERS, 24, 9, settings);
     fleet.network.loss = 0.05;
-    let without_quota =
-        |id: RequestId| Request { member_count: LIMITERS, ..request(id, IDEMPOTENT, UNLIMITED) };
-    fleet.run(400.0, 1.0, without_quota);
-    for position in 0..LIMITERS as usize {
-        let list = endpoints_changed((0..8).map(draining).collect());
-        fleet.handle(position, if position.is_multiple_of(3) { list } else { Event::WatchFailed });
+    fleet
+}
+
+/// A request at any limiter of a [`subscribed_fleet`], without a quota.
+fn at_subscribed_limiter(id: RequestId) -> Request {
+    Request { member_count: SUBSCRIBED_LIMITERS, ..request(id, IDEMPOTENT, UNLIMITED) }
+}
+
+/// Discovery notifies a third of the limiters that servers are draining, and the watches of the other
+/// limiters fail. These limiters learn it from their peers within 6 s, after which a change counts as
+/// announced, and forward nothing to the draining servers. What a peer reports about a server is valid until
+/// discovery announces the server, and not for the next start of the server.
+#[test]
+fn limiters_without_discovery_learn_of_departed_servers_from_their_peers() {
+    let mut fleet = subscribed_fleet();
+    fleet.run(400.0, 1.0, at_subscribed_limiter);
+    for position in 0..SUBSCRIBED_LIMITERS as usize {
+        let is_notified = position.is_multiple_of(3);
+        let announcement = endpoints_changed((0..8).map(draining).collect());
+        fleet.handle(position, if is_notified { announcement } else { Event::WatchFailed });
     }
-    fleet.run(400.0, 0.2, without_quota);
-    let at_once = fleet.num_forwarded_to(fleet.network.now - 200.0, |n| n < 8);
-    assert!(at_once > 0, "others have not learned of it at once");
+    fleet.run(400.0, 0.2, at_subscribed_limiter);
+    let before_gossip = fleet.num_forwarded_to(fleet.network.now - 200.0, |n| n < 8);
+    assert!(before_gossip > 0, "limiters without discovery cannot know of it immediately");
     let messages_before = fleet.network.messages_sent;
-    fleet.run(400.0, 5.0, without_quota);
+    fleet.run(400.0, 5.0, at_subscribed_limiter);
     let messages = fleet.network.messages_sent - messages_before;
-    // Two polls a second and a reply to each, of two thirds of the limiters.
+    // Two thirds of the limiters send two polls per second, each with one reply.
     assert!(messages <= 40 * 2 * 2 * 5 + 80, "{messages} messages");
     let learned_at = fleet.network.now;
-    fleet.run(400.0, 2.0, without_quota);
-    assert_eq!(fleet.num_forwarded_to(learned_at, |n| n < 8), 0);
-    let back = |n: u32| started_at(n, if n < 4 { 0.0 } else { learned_at });
-    fleet.change_endpoints((0..8).map(back).collect());
-    let back_at = fleet.network.now;
-    fleet.run(400.0, 2.0, without_quota);
-    assert!(fleet.num_forwarded_to(back_at, |n| n < 4) > 0, "discovery says that they are back");
+    fleet.run(400.0, 2.0, at_subscribed_limiter);
+    assert_eq!(fleet.num_forwarded_to(learned_at, |n| n < 8), 0, "nothing new to draining servers");
+    // Half of the servers serve again without a restart, and the others after one.
+    let serving_again = |n: u32| started_at(n, if n < 4 { 0.0 } else { learned_at });
+    fleet.change_endpoints((0..8).map(serving_again).collect());
+    let serving_again_at = fleet.network.now;
+    fleet.run(400.0, 2.0, at_subscribed_limiter);
+    let forwarded = fleet.num_forwarded_to(serving_again_at, |n| n < 4);
+    assert!(forwarded > 0, "discovery has announced that the servers serve again");
 }
--- a/limiter-core/tests/quota_owner.rs
+++ b/limiter-core/tests/quota_owner.rs
@@ -1,96 +1,133 @@
-//! What a quota owner keeps of its customers: what their requests really cost, one quota for each plan, and bounded
-//! memory.
+//! What a quota owner records about its customers: the actual cost of their requests, one quota for each
+//! plan, and bounded memory.
 
 mod common;
+use std::ops::Range;
+
 use common::*;
 use limiter_core::*;
 
-#[test]
-fn the_quota_is_corrected_by_the_units_that_a_request_really_cost() {
-    let num_admitted_after = |actual_units: Option<f64>| {
-        let mut limiter = TestLimiter::new(settings_of_only_limiter(), 3);
-        limiter.submit(request(1, IDEMPOTENT, WITH_RATE));
-        limiter.handle(Event::AttemptEnded {
-            id: 1,
-            attempt: 0,
-            outcome: Outcome::Ok,
-            elapsed_ms: 5.0,
-            request_finished: true,
-            actual_units,
-        });
-        num_forwarded_of(&mut limiter, 2..30, WITH_RATE)
-    };
-    let (after_four, after_estimate) = (num_admitted_after(Some(4.0)), num_admitted_after(None));
-    assert_eq!(after_four + 3, after_estimate, "three more units were used than estimated");
+/// Submits a request for each id and returns how many were forwarded immediately.
+fn num_forwarded_of(limiter: &mut TestLimiter, ids: Range<RequestId>, plan: usize) -> usize {
+    ids.filter(|id| is_forwarded(&limiter.submit(request(*id, IDEMPOTENT, plan)))).count()
 }
 
-/// Submits a request for each id; returns how many were forwarded at once.
-fn num_forwarded_of(limiter: &mut TestLimiter, ids: std::ops::Range<RequestId>, plan: usize) -> usize {
-    ids.filter(|id| is_forwarded(&limiter.submit(request(*id, IDEMPOTENT, plan)))).count()
+/// Returns how many requests are admitted after one request of one estimated unit whose response reports
+/// `actual_units`.
+fn num_admitted_after(actual_units: Option<f64>) -> usize {
+    let mut limiter = TestLimiter::new(settings_of_only_limiter(), 3);
+    limiter.submit(request(1, IDEMPOTENT, WITH_RATE));
+    limiter.handle(Event::AttemptEnded {
+        id: 1,
+        attempt: 0,
+        outcome: Outcome::Ok,
+        elapsed_ms: 5.0,
+        request_finished: true,
+        actual_units,
+    });
+    num_forwarded_of(&mut limiter, 2..30, WITH_RATE)
 }
 
-/// A customer that changes its plan, or whose id is given to another on another plan, has a quota of its own on that
-/// plan. Guards against a quota kept under one plan rejecting, or granting units to, the other.
 #[test]
-fn a_customer_on_another_plan_has_another_quota() {
+fn the_quota_is_corrected_by_the_units_that_a_request_actually_cost() {
+    let after_four_units = num_admitted_after(Some(4.0));
+    let after_estimate = num_admitted_after(None);
+    assert_eq!(after_four_units + 3, after_estimate, "three units more than estimated were used");
+}
+
+/// A customer that changes its plan, or whose id is reused by a customer on another plan, has a separate
+/// quota on that plan. Guards against the quota of one plan rejecting requests of the other, or granting
+/// units to them.
+#[test]
+fn a_customer_on_another_plan_has_a_separate_quota() {
     let mut limiter = TestLimiter::new(settings_of_only_limiter(), 3);
-    let num_admitted = |limiter: &mut TestLimiter, plan: usize, first_id: RequestId| {
-        let request = |id| Request { member_count: 1, ..request(id, IDEMPOTENT, plan) };
-        (first_id..first_id + 40).filter(|id| is_forwarded(&limiter.submit(request(*id)))).count()
-    };
-    // The ceiling's bucket starts as if spent: a while of waiting fills it.
+    // The ceiling's bucket starts as if it had been spent, and is full after this time.
     limiter.advance(20_000.0);
-    let first = num_admitted(&mut limiter, WITH_RATE, 0);
-    assert_eq!(first, 12, "the burst of one plan");
-    assert!(num_admitted(&mut limiter, WITH_CEILING, 100) > 12, "the other plan's quota is another one");
+    let first = num_forwarded_of(&mut limiter, 0..40, WITH_RATE);
+    assert_eq!(first, 12, "the burst of the first plan");
+    let on_other_plan = num_forwarded_of(&mut limiter, 100..140, WITH_CEILING);
+    assert!(on_other_plan > 12, "{on_other_plan}: the other plan has a separate quota");
     limiter.advance(500.0);
-    let again = num_admitted(&mut limiter, WITH_RATE, 200);
-    assert!(again <= 4, "{again}: the first one's is as spent as it was");
+    let again = num_forwarded_of(&mut limiter, 200..240, WITH_RATE);
+    assert!(again <= 4, "{again}: the first quota is as spent as before");
 }
 
-/// Submits a request to a limiter without a clock of its own; if it is forwarded, it has a good response. Returns
-/// whether it was forwarded.
+/// Submits a request to a limiter without a test clock, and reports a good response if the request is
+/// forwarded. Returns whether the request was forwarded.
 fn submit_and_respond(limiter: &mut Limiter, now: Millis, request: Request) -> bool {
-    let (id, mut actions) = (request.id, Vec::new());
+    let id = request.id;
+    let mut actions = Vec::new();
     limiter.handle(now, Event::RequestArrived(request), &mut actions);
-    let forwarded = is_forwarded(&actions);
-    if forwarded {
+    let is_forwarded = is_forwarded(&actions);
+    if is_forwarded {
         limiter.handle(now, attempt_ended(id, 0, Outcome::Ok, 50.0), &mut actions);
     }
-    forwarded
+    is_forwarded
 }
 
-/// New customers come in a flood, each once: the quotas not seen for longest are dropped sooner, so that what is kept
-/// stays bounded; a customer that has spent its quota in the flood does not get a new one by it.
-#[test]
-fn a_flood_of_new_customers_keeps_memory_bounded_and_renews_no_quota() {
-    const SECONDS: u32 = 60;
+/// A flood of new customers at one limiter, among them one customer that demands more than its quota.
+struct CustomerFlood {
+    limiter: Limiter,
+    now: Millis,
+    next_id: RequestId,
+    /// Units admitted for [`CustomerFlood::GREEDY_CUSTOMER`].
+    greedy_units: u32,
+}
+
+impl CustomerFlood {
     const GREEDY_CUSTOMER: CustomerId = 1;
-    let mut limiter = Limiter::new(settings_of_only_limiter(), 1, 0.0).expect("valid settings");
-    let (mut next_id, mut now, mut greedy_units) = (0, 0.0, 0);
-    limiter.handle(now, endpoints_replaced((0..3).map(endpoint).collect()), &mut Vec::new());
-    let mut most = limiter.cache_sizes();
-    for step in 0..10 * SECONDS {
-        // 1,000 a second, and 20 of one customer that may have 6 and a burst of 12.
-        for n in 0..102 {
-            next_id += 1;
-            let is_greedy = n < 2;
-            let customer = if is_greedy { GREEDY_CUSTOMER } else { 1000 + u64::from(next_id) };
-            let request = Request { member_count: 1, customer, ..request(next_id, IDEMPOTENT, WITH_RATE) };
-            if submit_and_respond(&mut limiter, now, request) {
-                greedy_units += u32::from(is_greedy);
+    const REQUESTS_PER_STEP: u32 = 102;
+    const GREEDY_REQUESTS_PER_STEP: u32 = 2;
+    const STEPS_PER_S: u32 = 10;
+
+    fn new() -> Self {
+        let mut limiter = Limiter::new(settings_of_only_limiter(), 1, 0.0).expect("valid settings");
+        let endpoints = (0..3).map(endpoint).collect();
+        limiter.handle(0.0, endpoints_replaced(endpoints), &mut Vec::new());
+        CustomerFlood { limiter, now: 0.0, next_id: 0, greedy_units: 0 }
+    }
+
+    /// Submits the requests of a tenth of a second: each but the greedy customer's is from a new customer.
+    /// Then lets the limiter make its control step.
+    fn step(&mut self) {
+        for n in 0..Self::REQUESTS_PER_STEP {
+            self.next_id += 1;
+            let is_greedy = n < Self::GREEDY_REQUESTS_PER_STEP;
+            let customer = if is_greedy { Self::GREEDY_CUSTOMER } else { 1000 + u64::from(self.next_id) };
+            let request =
+                Request { member_count: 1, customer, ..request(self.next_id, IDEMPOTENT, WITH_RATE) };
+            let is_forwarded = submit_and_respond(&mut self.limiter, self.now, request);
+            if is_forwarded && is_greedy {
+                self.greedy_units += 1;
             }
         }
-        now += 100.0;
-        limiter.handle(now, Event::TimerFired { token: TimerToken::ControlStep }, &mut Vec::new());
-        let sizes = limiter.cache_sizes();
-        most.member_quotas = most.member_quotas.max(sizes.member_quotas);
-        most.owner_quotas = most.owner_quotas.max(sizes.owner_quotas);
-        most.grants = most.grants.max(sizes.grants);
+        self.now += 1000.0 / f64::from(Self::STEPS_PER_S);
+        let control_step = Event::TimerFired { token: TimerToken::ControlStep };
+        self.limiter.handle(self.now, control_step, &mut Vec::new());
+    }
+}
+
+/// The quotas that have not been used for the longest time are dropped earlier in a flood, so memory stays
+/// bounded. A customer that has spent its quota does not get a new one because of the flood.
+#[test]
+fn a_flood_of_new_customers_keeps_memory_bounded_and_renews_no_quota() {
+    const SECONDS: u32 = 60;
+    let mut flood = CustomerFlood::new();
+    let mut max_sizes = flood.limiter.cache_sizes();
+    for step in 0..SECONDS * CustomerFlood::STEPS_PER_S {
+        flood.step();
+        let sizes = flood.limiter.cache_sizes();
+        max_sizes.member_quotas = max_sizes.member_quotas.max(sizes.member_quotas);
+        max_sizes.owner_quotas = max_sizes.owner_quotas.max(sizes.owner_quotas);
+        max_sizes.grants = max_sizes.grants.max(sizes.grants);
         assert_eq!(sizes.requests, 0, "at step {step}");
     }
-    // Beyond 10,000 the time for which they are kept falls as their number grows.
-    assert!(most.member_quotas <= 26_000 && most.owner_quotas <= 26_000, "{most:?}");
-    assert!(most.grants <= 10 * 1020, "{most:?}");
-    assert!(greedy_units <= 12 + 6 * SECONDS, "{greedy_units} units of one customer");
+    // Beyond 10,000 quotas the retention becomes shorter as their number grows.
+    assert!(max_sizes.member_quotas <= 26_000, "{max_sizes:?}");
+    assert!(max_sizes.owner_quotas <= 26_000, "{max_sizes:?}");
+    // 1,020 requests per second, whose decisions are retained for about 10 s at most.
+    assert!(max_sizes.grants <= 10 * 1020, "{max_sizes:?}");
+    // A burst of 12 units, and 6 units per second.
+    let quota = 12 + 6 * SECONDS;
+    assert!(flood.greedy_units <= quota, "{} units of one customer", flood.greedy_units);
 }
--- a/limiter-core/tests/quota_sharing.rs
+++ b/limiter-core/tests/quota_sharing.rs
@@ -1,12 +1,13 @@
-//! Quotas that the limiters of a customer share: each member spends, asks the quota owner, sheds load or, without any
-//! owner, goes by its even share.
+//! Quotas that several limiters share: a member spends its even share, requests grants from the owners, sheds
+//! excess load, and decides by its even share while no owner replies.
 
 mod common;
 use common::*;
 use limiter_core::*;
 
-/// Requests of one unit and one customer, evenly spaced and spread over all limiters.
+/// Evenly spaced requests of one unit and one customer, distributed over all limiters.
 struct Load {
+    /// Number of limiters, which are all members of the quota.
     limiters: u32,
     seconds: u32,
     requests_per_s: u32,
@@ -14,13 +15,15 @@
     loss: f64,
 }
 
-/// What the limiters made of a load.
+/// What the limiters did under a load.
 struct LoadResult {
     admitted_units: f64,
+    /// Gossip messages of all limiters.
     messages_sent: u32,
 }
 
 impl Load {
+    /// Runs the load on a new network. Forwarded requests have good responses.
     fn run(&self) -> LoadResult {
         let mut network = TestNetwork::new(self.limiters, 3, 5);
         network.loss = self.loss;
@@ -36,7 +39,7 @@
     }
 }
 
-/// 100 requests of one customer in 20 s, fewer than its quota allows.
+/// A load of 100 requests in 20 s, which is less than the quota.
 fn load_within_quota(limiters: u32) -> Load {
     Load { limiters, seconds: 20, requests_per_s: 5, loss: 0.0 }
 }
@@ -46,12 +49,13 @@
     for limiters in [1, 2, 3, 40] {
         let load = Load { limiters, seconds: 30, requests_per_s: 20, loss: 0.0 };
         let units = load.run().admitted_units;
-        // 6 units a second for 30 s and a burst of 12.
+        // 6 units per second for 30 s, and a burst of 12: 192 units.
         assert!((170.0..=196.0).contains(&units), "{units} at {limiters} limiters");
     }
 }
 
-/// Guards against a member that goes by its even share alone: over hundreds of limiters it is less than one request.
+/// Guards against a member that decides by its even share only: with hundreds of limiters the share is less
+/// than one request.
 #[test]
 fn demand_within_the_quota_is_admitted_at_any_number_of_members() {
     for limiters in [3, 40, 200] {
@@ -60,12 +64,13 @@
     }
 }
 
-/// Guards against gossip to all other limiters, which costs the square of their number.
+/// Guards against gossip to all other limiters, whose cost grows with the square of their number.
 #[test]
 fn messages_grow_with_requests_and_not_with_limiters() {
-    let few = load_within_quota(10).run().messages_sent;
-    let many = load_within_quota(200).run().messages_sent;
-    assert!(many <= few * 5 / 4 && many <= 250, "{few} and {many}");
+    let with_few_limiters = load_within_quota(10).run().messages_sent;
+    let with_many_limiters = load_within_quota(200).run().messages_sent;
+    assert!(with_many_limiters <= with_few_limiters * 5 / 4, "{with_few_limiters}, {with_many_limiters}");
+    assert!(with_many_limiters <= 250, "{with_many_limiters}");
 }
 
 #[test]
@@ -74,18 +79,20 @@
     assert!(units >= 95.0, "{units} of 100");
 }
 
-/// Guards against a customer far beyond its quota that floods its quota owner with quota requests.
+/// Guards against a customer far beyond its quota that floods the owner with quota requests.
 #[test]
-fn excess_load_is_shed_by_chance_before_it_costs_quota_requests() {
+fn excess_load_is_shed_at_random_before_it_costs_quota_requests() {
     let load = Load { limiters: 3, seconds: 20, requests_per_s: 200, loss: 0.0 };
     let LoadResult { admitted_units, messages_sent } = load.run();
+    // 6 units per second for 20 s, and a burst of 12: 132 units.
     assert!((110.0..=140.0).contains(&admitted_units), "{admitted_units}");
-    // 4000 requests, two thirds of them not at the owner: a quota request and a reply each would be 5300.
+    // Two thirds of the 4000 requests do not arrive at the owner. A quota request and a reply for each of
+    // them would be 5300 messages.
     assert!(messages_sent < 1200, "{messages_sent}");
 }
 
-/// Guards against excess load beyond a max-in-flight quota that is not shed and takes more messages than the
-/// allowance: those beyond it are lost.
+/// Guards against excess load beyond a quota on attempts in flight that is not shed. Such a load would need
+/// more messages than the allowance, and messages beyond the allowance are lost.
 #[test]
 fn excess_load_beyond_a_max_in_flight_quota_is_shed_too() {
     let mut network = TestNetwork::new(LIMITERS, 3, 5);
@@ -107,20 +114,20 @@
     actions.extend(network.advance(200.0));
     assert_eq!(num_forwarded(&actions), 6);
     network.respond_to_forwarded(&actions, 5.0);
-    // Until then members still shed load by the demand that a reply gave them.
+    // Members shed load by the demand in their last reply for 4 s.
     network.advance(4100.0);
     let mut actions = network.submit(0, request(50, NON_IDEMPOTENT, WITH_MAX_IN_FLIGHT));
     actions.extend(network.advance(200.0));
-    assert_eq!(num_forwarded(&actions), 1, "what those that ended took is free again");
+    assert_eq!(num_forwarded(&actions), 1, "requests that have ended are no longer in flight");
 }
 
-/// Guards against every request waiting for the reply of its quota owner: one of a customer whose quota is known to
-/// have units, or not known yet, is forwarded at once, and its owner counts it all the same.
+/// Guards against every request waiting for the owner's reply. A request is forwarded immediately if its
+/// quota is known to have units left, or is not known yet, and the owner counts the request nevertheless.
 #[test]
 fn a_customer_with_units_left_does_not_wait_for_a_reply() {
     for plan in [WITH_RATE, WITH_CEILING] {
         let mut network = TestNetwork::new(LIMITERS, 3, 5);
-        // A ceiling starts as if spent.
+        // A ceiling starts as if it had been spent, and is full after this time.
         network.advance(8000.0);
         for id in 0..LIMITERS {
             let actions = network.submit(id as usize, request(id, IDEMPOTENT, plan));
@@ -128,50 +135,62 @@
             network.advance(100.0);
         }
     }
-    // A burst of 12 units, 4 of them spent without asking: the requests that follow find what the others have left.
+    // Of a burst of 12 units, each member spends up to 4 without asking. Later requests find what is left.
     let load = Load { limiters: 3, seconds: 1, requests_per_s: 60, loss: 0.0 };
     let units = load.run().admitted_units;
     assert!((12.0..=20.0).contains(&units), "{units}");
 }
 
-/// The time after which a reply counts as lost may grow while a quota request is out. Guards against a lost reply
-/// that is then never missed, so that its request waits until its latency objective.
+/// Returns whether an action forwards the request with this id.
+fn is_request_forwarded(actions: &[LimiterAction], request_id: RequestId) -> bool {
+    actions.iter().any(|done| matches!(done.action, Action::Forward { id, .. } if id == request_id))
+}
+
+/// The time after which a reply counts as lost may grow while the reply is awaited. Guards against a lost
+/// reply that is then never detected, so that the request waits until its latency objective.
 #[test]
-fn a_lost_reply_is_missed_also_when_round_trips_have_grown() {
+fn a_lost_reply_is_detected_also_when_round_trips_have_become_longer() {
     let mut network = TestNetwork::new(2, 3, 5);
     network.advance(500.0);
     network.delay_ms = 42.0..43.0;
     let request_of =
         |id, customer| Request { member_count: 2, customer, ..request(id, IDEMPOTENT, WITH_MAX_IN_FLIGHT) };
     let waits_for_peer = |id: &RequestId| network.submit(0, request_of(*id, u64::from(*id))).is_empty();
-    let with_slow_reply = (0..32).find(waits_for_peer).expect("a customer whose quota owner is the peer");
+    let with_slow_reply = (0..32).find(waits_for_peer).expect("a customer whose owner is the peer");
     let with_lost_reply = 100;
     network.loss = 1.0;
     network.submit(0, request_of(with_lost_reply, u64::from(with_slow_reply)));
     network.loss = 0.0;
-    let is_forwarded = |actions: Vec<LimiterAction>, of: RequestId| {
-        actions.iter().any(|done| matches!(done.action, Action::Forward { id, .. } if id == of))
-    };
-    assert!(is_forwarded(network.advance(104.0), with_slow_reply), "a slow reply");
-    assert!(is_forwarded(network.advance(150.0), with_lost_reply), "the lost one is requested again");
+    assert!(is_request_forwarded(&network.advance(104.0), with_slow_reply), "after a slow reply");
+    assert!(is_request_forwarded(&network.advance(150.0), with_lost_reply), "after a second quota request");
+}
+
+/// Number of members in the tests without owners.
+const TWELVE_MEMBERS: u32 = 12;
+
+/// A request of a customer with twelve members.
+fn request_with_twelve_members(id: RequestId, plan: usize) -> Request {
+    Request { member_count: TWELVE_MEMBERS, ..request(id, IDEMPOTENT, plan) }
+}
+
+/// Returns whether the limiter at this position owns no quota of the customer: with all peers silent, the
+/// limiter neither forwards nor rejects a request immediately. Under a quota on attempts in flight, owners
+/// are always asked.
+fn is_no_owner(position: u32) -> bool {
+    let mut limiter = TestLimiter::new(settings_among(TWELVE_MEMBERS, position), 3);
+    let on_arrival = limiter.submit(request_with_twelve_members(1, WITH_MAX_IN_FLIGHT));
+    let later = limiter.advance(30.0);
+    !is_forwarded(&on_arrival) && !is_forwarded(&later) && !is_rejected(&on_arrival)
 }
 
-/// Units that a member of twelve admits of a customer whose quota owners are all silent, at two requests a second.
+/// Returns the units that a member admits at two requests per second while all owners are silent.
 fn admitted_without_owners(plan: usize, requests: u32) -> usize {
-    let settings = |position| settings_among(12, position);
-    let request = |id, plan| Request { member_count: 12, ..request(id, IDEMPOTENT, plan) };
-    let is_no_owner = |position: &u32| {
-        let mut limiter = TestLimiter::new(settings(*position), 3);
-        // Under a max-in-flight quota the owners are always asked.
-        let at_once = limiter.submit(request(1, WITH_MAX_IN_FLIGHT));
-        let later = limiter.advance(30.0);
-        !is_forwarded(&at_once) && !is_forwarded(&later) && !is_rejected(&at_once)
-    };
-    let position = (0..12).find(is_no_owner).expect("there are three owners");
-    let mut limiter = TestLimiter::new(settings(position), 3);
+    let position =
+        (0..TWELVE_MEMBERS).find(|position| is_no_owner(*position)).expect("there are three owners");
+    let mut limiter = TestLimiter::new(settings_among(TWELVE_MEMBERS, position), 3);
     let mut units = 0;
     for id in 0..requests {
-        units += forwarded_to(&limiter.submit(request(id, plan))).len();
+        units += forwarded_to(&limiter.submit(request_with_twelve_members(id, plan))).len();
         units += forwarded_to(&limiter.advance(500.0)).len();
         limiter.respond(id, 5.0);
     }
@@ -180,7 +199,7 @@
 
 #[test]
 fn a_member_spends_its_even_share_while_no_owner_replies() {
-    // A twelfth of 6 units a second for 60 s, or a customer that only owners may admit.
+    // A twelfth of 6 units per second for 60 s is 30 units.
     let units = admitted_without_owners(WITH_RATE, 120);
     assert!((10..=40).contains(&units), "{units}");
     assert!(admitted_without_owners(WITH_MAX_IN_FLIGHT, 120) > 0);
@@ -191,9 +210,10 @@
     assert_eq!(admitted_without_owners(WITH_CEILING, 60), 0);
 }
 
-/// Also member sets that are empty, that wrap around and that name more limiters than there are.
+/// Includes member ranges that are empty, that wrap around, and that have more members than there are
+/// limiters.
 #[test]
-fn customers_with_any_member_set_are_served() {
+fn customers_with_any_member_range_are_served() {
     for (member_count, first_member) in [(0, 0), (1, 2), (2, 2), (3, 7), (100, 1), (u32::MAX, u32::MAX)] {
         let mut network = TestNetwork::new(LIMITERS, 3, 1);
         network.advance(2000.0);
