--- a/limiter-core/src/admission/mod.rs
+++ b/limiter-core/src/admission/mod.rs
@@ -60,6 +60,19 @@
     signals: Signals,
 }
 
+/// What admission control has to know about an attempt that has ended.
+#[derive(Debug, Clone, Copy)]
+pub(crate) struct EndedAttempt {
+    /// How the attempt ended.
+    pub outcome: Outcome,
+    /// Slots that the attempt occupied until now.
+    pub slots: f64,
+    /// Latency objective of the request in milliseconds.
+    pub objective_ms: Millis,
+    /// Duration of the attempt in milliseconds.
+    pub elapsed_ms: Millis,
+}
+
 impl Admission {
     /// Creates admission control that has measured nothing yet.
     pub fn new(now: Millis) -> Self {
@@ -103,20 +116,12 @@
         self.signals.adapt_smoothing(now);
     }
 
-    /// Records the end of an attempt that occupied `slots`, for a request with this latency objective:
-    /// releases the slots and measures the attempt.
-    pub fn attempt_ended(
-        &mut self,
-        now: Millis,
-        outcome: Outcome,
-        slots: f64,
-        objective_ms: Millis,
-        elapsed_ms: Millis,
-    ) {
-        self.slot_usage.release(slots);
-        if outcome == Outcome::Cancelled {
-            self.slot_usage.record_cancelled(now, slots);
+    /// Releases the slots of an attempt that has ended, and measures the attempt.
+    pub fn attempt_ended(&mut self, now: Millis, attempt: &EndedAttempt) {
+        self.slot_usage.release(attempt.slots);
+        if attempt.outcome == Outcome::Cancelled {
+            self.slot_usage.record_cancelled(now, attempt.slots);
         }
-        self.signals.record_attempt(now, outcome, objective_ms, elapsed_ms);
+        self.signals.record_attempt(now, attempt);
     }
 }
--- a/limiter-core/src/admission/signals.rs
+++ b/limiter-core/src/admission/signals.rs
@@ -1,5 +1,6 @@
 //! The smoothed measurements on which the feedback is based.
 
+use super::EndedAttempt;
 use crate::decay::{DecayingMean, DecayingSum};
 use crate::event::{Millis, Outcome};
 
@@ -81,25 +82,20 @@
     }
 
     /// Records the end of an attempt. An attempt that was never executed says nothing about latency.
-    pub fn record_attempt(
-        &mut self,
-        now: Millis,
-        outcome: Outcome,
-        objective_ms: Millis,
-        elapsed_ms: Millis,
-    ) {
-        if !outcome.never_executed() {
+    pub fn record_attempt(&mut self, now: Millis, attempt: &EndedAttempt) {
+        if !attempt.outcome.never_executed() {
             // Clipped: a heavy request or a hung server counts only as a missed objective, so that a few of
             // them cannot throttle all traffic.
-            let latency = (elapsed_ms / objective_ms).min(1.0);
+            let latency = (attempt.elapsed_ms / attempt.objective_ms).min(1.0);
             self.local_latency.add(now, latency);
             self.latency.add(now, latency);
         }
-        if outcome == Outcome::Ok {
+        if attempt.outcome == Outcome::Ok {
             self.completed.add(now, 1.0);
-            self.objectives_ms.add(now, objective_ms);
+            self.objectives_ms.add(now, attempt.objective_ms);
         }
-        self.rejected.add(now, if outcome == Outcome::Rejected { 1.0 } else { 0.0 });
+        let is_rejected = attempt.outcome == Outcome::Rejected;
+        self.rejected.add(now, if is_rejected { 1.0 } else { 0.0 });
     }
 
     /// Returns the mean latency of this limiter's attempts as a fraction of the latency objective, if any are
--- a/limiter-core/src/quota/owner/bucket.rs
+++ b/limiter-core/src/quota/owner/bucket.rs
@@ -1,4 +1,4 @@
-//! The state of one quota at its owner: token buckets, units outstanding, requests in flight and demand.
+//! The state of one quota at its owner: token buckets, outstanding units, requests in flight and demand.
 
 use super::grants::GRANT_VALIDITY_MS;
 use crate::context::Context;
@@ -39,7 +39,7 @@
     }
 }
 
-/// What an owner keeps for one quota.
+/// The state of one quota at an owner.
 #[derive(Debug)]
 pub(super) struct OwnerQuota {
     /// Fraction of the ceiling that this owner holds.
--- a/limiter-core/src/request/attempts.rs
+++ b/limiter-core/src/request/attempts.rs
@@ -1,6 +1,7 @@
 //! Attempts: forwarding a request to a server, and recording how that ended.
 
 use super::retry::PossibleExecution;
+use crate::admission::EndedAttempt;
 use crate::endpoints::AttemptTarget;
 use crate::event::{Action, Millis, Outcome, RequestId, ServerId};
 use crate::limiter::Limiter;
@@ -128,7 +129,8 @@
         let now = self.context.now;
         let outcome = end.outcome;
         let objective_ms = self.context.settings.classes[attempt.class].latency_objective_ms;
-        self.admission.attempt_ended(now, outcome, attempt.slots, objective_ms, end.elapsed_ms);
+        let ended = EndedAttempt { outcome, slots: attempt.slots, objective_ms, elapsed_ms: end.elapsed_ms };
+        self.admission.attempt_ended(now, &ended);
         self.endpoints.attempt_ended(now, &attempt, outcome, end.elapsed_ms);
         let Some(pending) = self.requests.get_mut(end.key.request) else { return };
         pending.is_in_flight = false;
--- a/limiter-core/tests/fleet.rs
+++ b/limiter-core/tests/fleet.rs
@@ -260,7 +260,7 @@
 /// announced, and forward nothing to the draining servers. What a peer reports about a server is valid until
 /// discovery announces the server, and not for the next start of the server.
 #[test]
-fn limiters_without_discovery_learn_of_departed_servers_from_their_peers() {
+fn limiters_that_discovery_fails_learn_of_departed_servers_from_their_peers() {
     let mut fleet = subscribed_fleet();
     fleet.run(400.0, 1.0, at_subscribed_limiter);
     for position in 0..SUBSCRIBED_LIMITERS as usize {
--- a/limiter-core/tests/quota_owner.rs
+++ b/limiter-core/tests/quota_owner.rs
@@ -39,7 +39,7 @@
 /// quota on that plan. Guards against the quota of one plan rejecting requests of the other, or granting
 /// units to them.
 #[test]
-fn a_customer_on_another_plan_has_a_separate_quota() {
+fn a_customer_on_another_plan_has_another_quota() {
     let mut limiter = TestLimiter::new(settings_of_only_limiter(), 3);
     // The ceiling's bucket starts as if it had been spent, and is full after this time.
     limiter.advance(20_000.0);
