--- a/limiter/src/config/mod.rs
+++ b/limiter/src/config/mod.rs
@@ -23,7 +23,7 @@
 use simulator_adapter::NameIndex;
 
 use crate::endpoints::EndpointList;
-use crate::net::through_shortage;
+use crate::net::retry_on_resource_exhaustion;
 pub use error::ConfigError;
 use file::ConfigFile;
 use limits::{ConnectionLimits, TooFewConnections};
@@ -87,7 +87,9 @@
     /// # Errors
     /// [`ConfigError`] names the first value that is missing or cannot be used.
     pub fn from_environment() -> Result<Config, ConfigError> {
-        Config::read(&environment_variable, |path| through_shortage(|| std::fs::read_to_string(path)))
+        Config::read(&environment_variable, |path| {
+            retry_on_resource_exhaustion(|| std::fs::read_to_string(path))
+        })
     }
 
     /// Reads the file again. `ROUTER_DISCOVERY` applies to the start only, so that the file can name another
--- a/limiter/src/main.rs
+++ b/limiter/src/main.rs
@@ -35,7 +35,7 @@
 use discovery::WatchTarget;
 use engine::Engine;
 use gossip::GossipSender;
-use net::{through_shortage, DatagramSocket, Listener};
+use net::{retry_on_resource_exhaustion, DatagramSocket, Listener};
 use observability::logging;
 use runtime::signals::{SignalError, Signals};
 use upstream::Servers;
@@ -77,7 +77,7 @@
 
 fn start_runtime() -> Result<LocalRuntime, StartError> {
     let build = || Builder::new_current_thread().enable_all().build_local(LocalOptions::default());
-    through_shortage(build).map_err(StartError::Runtime)
+    retry_on_resource_exhaustion(build).map_err(StartError::Runtime)
 }
 
 /// Serves until SIGTERM or SIGINT, and finishes the accepted requests.
@@ -130,12 +130,12 @@
 }
 
 fn listen(address: SocketAddr) -> Result<Listener, StartError> {
-    through_shortage(|| Listener::bind(address, ACCEPT_QUEUE))
+    retry_on_resource_exhaustion(|| Listener::bind(address, ACCEPT_QUEUE))
         .map_err(|error| StartError::Listen { address, error })
 }
 
 fn bind_gossip(address: SocketAddr) -> Result<Rc<DatagramSocket>, StartError> {
-    let socket = through_shortage(|| DatagramSocket::bind(address))
+    let socket = retry_on_resource_exhaustion(|| DatagramSocket::bind(address))
         .map_err(|error| StartError::Gossip { address, error })?;
     Ok(Rc::new(socket))
 }
--- a/limiter/src/runtime/signals.rs
+++ b/limiter/src/runtime/signals.rs
@@ -13,7 +13,7 @@
 use tokio::sync::Notify;
 use tokio::time::timeout;
 
-use crate::net::through_shortage;
+use crate::net::retry_on_resource_exhaustion;
 
 /// Longest time until a signal is noticed whose wake-up was lost: the handler cannot repeat a write that
 /// fails.
@@ -79,7 +79,7 @@
     /// [`SignalError`] if the system does not allow it.
     pub fn install() -> Result<Signals, SignalError> {
         let failed = |error| SignalError { name: "signals", error };
-        let (receiver, sender) = through_shortage(StdUnixStream::pair).map_err(failed)?;
+        let (receiver, sender) = retry_on_resource_exhaustion(StdUnixStream::pair).map_err(failed)?;
         receiver.set_nonblocking(true).map_err(failed)?;
         Ok(Signals {
             wake_ups: UnixStream::from_std(receiver).map_err(failed)?,
