--- a/test.sh
+++ b/test.sh
@@ -28,8 +28,9 @@
     limiter-core/src/gossip/mod.rs
     limiter-core/src/hashing.rs
     limiter-core/src/limiter.rs
+    limiter-core/src/quota/keys.rs
+    limiter-core/src/quota/messages.rs
     limiter-core/src/quota/mod.rs
-    limiter-core/src/quota/records.rs
     limiter-core/src/request/mod.rs
     limiter-core/src/request/table.rs
     limiter-core/src/rules/mod.rs
