--- a/limiter/src/observability/tests.rs
+++ b/limiter/src/observability/tests.rs
@@ -94,8 +94,11 @@
     let places = OperationsPage::read().places();
     assert!(places.len() > 20, "the page is searched for places");
     for PlaceInCode { path, item } in places {
-        let sources = read_sources(&repository().join(&path));
-        let is_declared = sources.iter().any(|source| declares(source, &item));
-        assert!(is_declared, "docs/operations.md names {path}::{item}, which is not declared there");
+        let source = std::fs::read_to_string(repository().join(&path));
+        let source = source.unwrap_or_else(|error| panic!("docs/operations.md names {path}: {error}"));
+        assert!(
+            declares(&source, &item),
+            "docs/operations.md names {path}::{item}, which is not declared there"
+        );
     }
 }
--- a/limiter/src/observability/tests/operations_page.rs
+++ b/limiter/src/observability/tests/operations_page.rs
@@ -9,7 +9,7 @@
 const DEBUG_EVENTS_HEADING: &str = "### Log events at debug";
 const COUNTERS_HEADING: &str = "## Counters";
 
-/// A function, constant or type in a file or folder, as `path::item`.
+/// A function, constant or type in a source file, as `path::item`.
 pub struct PlaceInCode {
     /// Path from the root of the repository.
     pub path: String,
--- a/limiter/src/observability/tests/source_events.rs
+++ b/limiter/src/observability/tests/source_events.rs
@@ -14,16 +14,10 @@
     pub fields: BTreeSet<String>,
 }
 
-/// Returns the text of a source file, or of each source file in a folder except for tests.
-pub fn read_sources(path: &Path) -> Vec<String> {
+/// Returns the text of each source file in a folder, except for tests.
+pub fn read_sources(folder: &Path) -> Vec<String> {
     let mut sources = Vec::new();
-    if path.is_dir() {
-        read_folder(path, &mut sources);
-    } else {
-        sources.push(
-            std::fs::read_to_string(path).unwrap_or_else(|error| panic!("{}: {error}", path.display())),
-        );
-    }
+    read_folder(folder, &mut sources);
     sources
 }
 
