--- a/limiter-core/tests/common/test_fleet.rs
+++ b/limiter-core/tests/common/test_fleet.rs
@@ -142,9 +142,9 @@
     }
 
     /// Announces changed servers to all limiters.
-    pub fn change_endpoints(&mut self, endpoints: Vec<Endpoint>) {
+    pub fn change_endpoints(&mut self, endpoints: &[Endpoint]) {
         for limiter in 0..self.network.limiters.len() {
-            self.handle(limiter, endpoints_changed(endpoints.clone()));
+            self.handle(limiter, endpoints_changed(endpoints.to_vec()));
         }
     }
 
--- a/limiter-core/tests/fleet.rs
+++ b/limiter-core/tests/fleet.rs
@@ -60,7 +60,7 @@
     fleet.run(400.0, 5.0, without_quota);
     let replaced_at = fleet.network.now;
     let cold = (100..136).map(|n| started_at(n, replaced_at));
-    fleet.change_endpoints((24..60).map(draining).chain(cold).collect());
+    fleet.change_endpoints(&(24..60).map(draining).chain(cold).collect::<Vec<_>>());
     let warm_per_s = 400.0 / 24.0;
     fleet.run(400.0, 2.0, without_quota);
     for n in 100..136 {
@@ -83,7 +83,7 @@
 fn limiters_that_have_just_started_use_cold_servers() {
     let mut fleet = TestFleet::new(FLEET_SIZE, 24, 4);
     let started = fleet.network.now - 5000.0;
-    fleet.change_endpoints((100..136).map(|n| started_at(n, started)).collect());
+    fleet.change_endpoints(&(100..136).map(|n| started_at(n, started)).collect::<Vec<_>>());
     fleet.run(400.0, 1.0, without_quota);
     let now = fleet.network.now;
     let all = fleet.run(400.0, 1.5, without_quota) as usize;
@@ -281,7 +281,7 @@
     assert_eq!(fleet.num_forwarded_to(learned_at, |n| n < 8), 0, "nothing new to draining servers");
     // Half of the servers serve again without a restart, and the others after one.
     let serving_again = |n: u32| started_at(n, if n < 4 { 0.0 } else { learned_at });
-    fleet.change_endpoints((0..8).map(serving_again).collect());
+    fleet.change_endpoints(&(0..8).map(serving_again).collect::<Vec<_>>());
     let serving_again_at = fleet.network.now;
     fleet.run(400.0, 2.0, at_subscribed_limiter);
     let forwarded = fleet.num_forwarded_to(serving_again_at, |n| n < 4);
--- a/limiter-core/tests/server_selection.rs
+++ b/limiter-core/tests/server_selection.rs
@@ -13,7 +13,7 @@
     for state in [EndpointState::Draining, EndpointState::Removed] {
         let mut limiter = TestLimiter::new(settings(0), 2);
         limiter.change_endpoints(vec![Endpoint { state, ..endpoint(0) }]);
-        assert_all_go_to(&mut limiter, server(1));
+        assert_all_go_to(&mut limiter, &server(1));
     }
 }
 
@@ -21,14 +21,14 @@
 fn a_server_missing_from_a_complete_list_is_removed() {
     let mut limiter = TestLimiter::new(settings(0), 2);
     limiter.replace_endpoints(vec![endpoint(1)]);
-    assert_all_go_to(&mut limiter, server(1));
+    assert_all_go_to(&mut limiter, &server(1));
 }
 
 /// Asserts that 50 requests are forwarded to one server only.
-fn assert_all_go_to(limiter: &mut TestLimiter, only: ServerId) {
+fn assert_all_go_to(limiter: &mut TestLimiter, only: &ServerId) {
     for id in 0..50 {
         let servers = forwarded_to(&limiter.submit(request(id, IDEMPOTENT, UNLIMITED)));
-        assert!(servers.iter().all(|server| *server == only));
+        assert!(servers.iter().all(|server| server == only));
     }
 }
 
--- a/limiter-core/tests/slow_start.rs
+++ b/limiter-core/tests/slow_start.rs
@@ -93,7 +93,7 @@
         let request = |id| request_of_uneven_load(id, limiters);
         fleet.run(requests_per_s, 6.0, request);
         let started = fleet.network.now;
-        fleet.change_endpoints(replacement(self.num_replaced, started));
+        fleet.change_endpoints(&replacement(self.num_replaced, started));
         fleet.run(requests_per_s * LOAD_IN_PAUSE, self.pause_s, request);
         for second in 0..6 {
             fleet.run(requests_per_s * LOAD_IN_BURST, 1.0, request);
--- a/limiter-core/tests/tombstones.rs
+++ b/limiter-core/tests/tombstones.rs
@@ -21,7 +21,7 @@
 
 /// Returns a network of limiters that have been notified of these changes. The endpoint list is pushed to
 /// them.
-fn network_notified_of(servers: u32, changes: Vec<Endpoint>) -> TestNetwork {
+fn network_notified_of(servers: u32, changes: &[Endpoint]) -> TestNetwork {
     let mut network = TestNetwork::new(LIMITERS, servers, 7);
     network.advance(1000.0);
     notify_all(&mut network, changes);
@@ -29,9 +29,9 @@
 }
 
 /// Announces changes to all limiters.
-fn notify_all(network: &mut TestNetwork, changes: Vec<Endpoint>) {
+fn notify_all(network: &mut TestNetwork, changes: &[Endpoint]) {
     for limiter in 0..LIMITERS as usize {
-        network.handle(limiter, endpoints_changed(changes.clone()));
+        network.handle(limiter, endpoints_changed(changes.to_vec()));
     }
     network.advance(500.0);
 }
@@ -70,7 +70,7 @@
 fn a_limiter_that_starts_in_an_outage_learns_of_departed_servers_from_its_peers() {
     for changes in [vec![draining(0)], vec![draining(0), draining(1), draining(2)]] {
         let num_drained = changes.len() as u32;
-        let mut network = network_notified_of(FEW, changes);
+        let mut network = network_notified_of(FEW, &changes);
         restart_during_outage(&mut network, FEW);
         let expected: Vec<ServerId> = (num_drained..FEW).map(server).collect();
         assert_eq!(servers_used(&mut network), expected);
@@ -80,8 +80,8 @@
 /// Server 0 has drained and takes requests again: the announcement removes its tombstone.
 #[test]
 fn a_server_that_is_back_is_no_longer_reported_as_departed() {
-    let mut network = network_notified_of(FEW, vec![draining(0), draining(1)]);
-    notify_all(&mut network, vec![endpoint(0)]);
+    let mut network = network_notified_of(FEW, &[draining(0), draining(1)]);
+    notify_all(&mut network, &[endpoint(0)]);
     restart_during_outage(&mut network, FEW);
     assert_eq!(servers_used(&mut network), [server(0), server(2), server(3)]);
 }
@@ -89,7 +89,7 @@
 /// Outages last: a change that was announced a minute before the start of the process is still reported.
 #[test]
 fn tombstones_are_remembered_through_a_long_outage() {
-    let mut network = network_notified_of(FEW, vec![draining(0)]);
+    let mut network = network_notified_of(FEW, &[draining(0)]);
     network.advance(60_000.0);
     restart_during_outage(&mut network, FEW);
     assert_eq!(servers_used(&mut network), [server(1), server(2), server(3)]);
@@ -99,7 +99,7 @@
 #[test]
 fn all_tombstones_of_a_large_release_are_learned() {
     let num_drained = MANY * 6 / 10;
-    let mut network = network_notified_of(MANY, (0..num_drained).map(draining).collect());
+    let mut network = network_notified_of(MANY, &(0..num_drained).map(draining).collect::<Vec<_>>());
     restart_during_outage(&mut network, MANY);
     let departed: Vec<ServerId> = (0..num_drained).map(server).collect();
     let used = servers_used(&mut network);
