--- a/limiter/src/config/mod.rs
+++ b/limiter/src/config/mod.rs
@@ -20,7 +20,7 @@
 use std::net::SocketAddr;
 
 use limiter_core::{Millis, Settings};
-use simulator_adapter::NameIndex;
+use simulator_adapter::{CoreSettings, NameIndex};
 
 use crate::endpoints::EndpointList;
 use crate::net::retry_on_resource_exhaustion;
@@ -120,7 +120,7 @@
         let seed = parse_seed(path, file.seed.as_deref())?;
         let site = SiteSettings::new(&file.settings);
         let server_connection_idle_ms = connection_idle_ms(path, site.server_idle_ms)?;
-        let (settings, names) = file
+        let CoreSettings { settings, names } = file
             .settings
             .into_core()
             .map_err(|error| ConfigError::InvalidSettings { path: path.to_string(), error })?;
--- a/simulator-adapter/src/convert/settings.rs
+++ b/simulator-adapter/src/convert/settings.rs
@@ -19,13 +19,21 @@
     MissingKeyScope(String),
 }
 
+/// Settings in the form of `limiter-core`, with the names that their JSON form uses.
+pub struct CoreSettings {
+    /// The settings.
+    pub settings: Settings,
+    /// The index of the names in the settings.
+    pub names: NameIndex,
+}
+
 impl InstanceSettings {
     /// Returns the settings of `limiter-core`, and the index of the names in them. Only
     /// [`Settings::validate`] checks the values themselves.
     ///
     /// # Errors
     /// The first contradiction between two values.
-    pub fn into_core(self) -> Result<(Settings, NameIndex), SettingsJsonError> {
+    pub fn into_core(self) -> Result<CoreSettings, SettingsJsonError> {
         let names = self.name_index();
         let classes = self.classes.iter().map(request_class).collect::<Result<Vec<_>, _>>()?;
         let settings = Settings {
@@ -47,7 +55,7 @@
             overload_factor: self.slow_start.overload_factor,
             overload_ms: self.slow_start.overload_ms,
         };
-        Ok((settings, names))
+        Ok(CoreSettings { settings, names })
     }
 
     fn name_index(&self) -> NameIndex {
--- a/simulator-adapter/src/host.rs
+++ b/simulator-adapter/src/host.rs
@@ -7,6 +7,7 @@
 
 use crate::convert::action::outbound_message;
 use crate::convert::event::{attempt_ended, endpoint, request};
+use crate::convert::settings::CoreSettings;
 use crate::error::{LineError, MessageError};
 use crate::hex;
 use crate::names::NameIndex;
@@ -99,7 +100,7 @@
         seed: u64,
         settings: InstanceSettings,
     ) -> Result<(), MessageError> {
-        let (settings, names) = settings.into_core()?;
+        let CoreSettings { settings, names } = settings.into_core()?;
         let limiter = Limiter::new(settings, seed, now)?;
         let instance = Instance { id: Arc::from(limiter_id.as_str()), names, limiter };
         self.instances.insert(limiter_id, instance);
--- a/simulator-adapter/src/lib.rs
+++ b/simulator-adapter/src/lib.rs
@@ -17,7 +17,7 @@
 mod serve;
 mod wire;
 
-pub use convert::settings::SettingsJsonError;
+pub use convert::settings::{CoreSettings, SettingsJsonError};
 pub use error::AdapterError;
 pub use names::{NameIndex, NameKind, UnknownName};
 pub use serve::serve;
