--- a/limiter/src/config/limits.rs
+++ b/limiter/src/config/limits.rs
@@ -5,12 +5,15 @@
 
 /// Memory in MB that one connection may use at most. Bounds the number of connections by memory.
 const CONNECTION_MB: f64 = 0.15;
-/// Number of descriptors that no client or server connection may use: the three standard streams, two for
-/// events and one for wake-ups, two for signals, the listener, the gossip socket, the watches on the old and
-/// the new discovery with a slow request each, the configuration file during a reload, and a client that is
-/// being accepted.
+/// Number of descriptors that no client or server connection may use. These thirteen are always open: the
+/// three standard streams, two for events and one for wake-ups, five for signals (a receiver, and a sender
+/// for each of the four signals), the listener and the gossip socket. At most six more are open for a while:
+/// the watches on the old and the new discovery with a slow request each, the configuration file during a
+/// reload, and a client that is being accepted. The sixth of the connections that is left spare, eight at
+/// least, covers the three beyond this number.
 const RESERVED_DESCRIPTORS: usize = 16;
-/// Lowest number of connections that the platform's limits must allow.
+/// Lowest number of connections that the platform's limits must allow. Of 48 connections, 24 are for clients,
+/// 16 for servers, and 8 are spare.
 pub const MIN_CONNECTIONS: usize = 48;
 /// The connections are divided by this number for clients: a half. With [`SERVER_DIVISOR`], a sixth is spare.
 const CLIENT_DIVISOR: usize = 2;
--- a/limiter/src/config/mod.rs
+++ b/limiter/src/config/mod.rs
@@ -92,8 +92,8 @@
         })
     }
 
-    /// Reads the file again. `ROUTER_DISCOVERY` applies to the start only, so that the file can name another
-    /// address of discovery.
+    /// Reads the file again, once. `ROUTER_DISCOVERY` applies to the start only, so that the file can name
+    /// another address of discovery; a file without an address of discovery is an error here.
     ///
     /// # Errors
     /// [`ConfigError`] names the first value that is missing or cannot be used.
--- a/limiter/src/discovery/in_flight.rs
+++ b/limiter/src/discovery/in_flight.rs
@@ -1,4 +1,9 @@
 //! The watch requests that are in flight: the newest, and an earlier one that was not answered in time.
+//!
+//! From a discovery that answers every request later than the response timeout, the limiter would otherwise
+//! never receive a list: each request would be dropped before its answer. The slow request stays in flight
+//! through the backoff and the requests that follow it. An answer that arrives during a backoff is returned
+//! by the next call of [`InFlightRequests::open_watch`].
 
 use std::future::Future;
 use std::pin::Pin;
--- a/limiter/src/discovery/mod.rs
+++ b/limiter/src/discovery/mod.rs
@@ -10,9 +10,9 @@
 //! | --- | --- |
 //! | [`watch`] | watches one source: opens the watch, applies lists, reopens the watch |
 //! | [`in_flight`] | the watch requests that are in flight: the newest, and a slow one |
-//! | [`request`] | sends one watch request |
 //! | [`reader`] | reads lists from the response to a watch request |
 //! | [`error`] | why a watch has ended |
+//! | [`request`] | sends one watch request |
 //! | [`framing`] | splits a byte stream into JSON objects |
 //! | [`backoff`] | the waits between watch requests |
 //! | [`policy`] | bounds of the waits and timeouts |
@@ -39,8 +39,9 @@
 
 /// Watches the source that the configuration names, forever.
 ///
-/// After a change of the address, the watch on the old source continues until the new source has announced a
-/// list. No announcement of the old source is lost until then; later ones are ignored.
+/// After a change of the address, the watch on the old source stays open until the new source has announced a
+/// list, so that no announcement of the old source is lost until then; later ones are ignored. A watch on an
+/// old source that ends for another reason before that is not opened again.
 ///
 /// Each watch is a separate task that ends by itself. Cancelling this future only prevents new watches.
 pub async fn run(engine: Rc<Engine>, target: Rc<WatchTarget>) {
--- a/limiter/src/discovery/policy.rs
+++ b/limiter/src/discovery/policy.rs
@@ -10,9 +10,9 @@
 /// ([`SUBSCRIBED_MAX_INITIAL_BACKOFF`]) and a response.
 pub const MAX_SILENCE: Duration = Duration::from_millis(2500);
 
-/// Longest wait for a response where lists are pushed. A local agent answers at once and at no cost, and the
-/// changes that the agent has count as announced. No time without a watch may be longer than the rules allow
-/// sends to a draining server, 250 ms.
+/// Time for the response to a request where lists are pushed, after which the next request is sent. A local
+/// agent answers at once and at no cost, and the changes that the agent has count as announced. No time
+/// without a watch may be longer than the rules allow sends to a draining server, 250 ms.
 const PUSHED_RESPONSE_TIMEOUT: Duration = Duration::from_millis(200);
 /// Bound of the first backoff where lists are pushed.
 const PUSHED_INITIAL_BACKOFF: Duration = Duration::from_millis(25);
@@ -20,7 +20,8 @@
 /// ms.
 const PUSHED_MAX_BACKOFF: Duration = Duration::from_millis(50);
 
-/// Longest wait for a response where lists are subscribed to.
+/// Time for the response to a request where lists are subscribed to, after which the backoff before the next
+/// request begins.
 const SUBSCRIBED_RESPONSE_TIMEOUT: Duration = Duration::from_millis(2500);
 /// Least bound of the first backoff where lists are subscribed to, which applies to a few limiters.
 const SUBSCRIBED_MIN_INITIAL_BACKOFF: Duration = Duration::from_millis(50);
@@ -43,7 +44,8 @@
 /// How often discovery is asked for a watch, and how long each answer is awaited.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct WatchPolicy {
-    /// Longest wait from the beginning of a request to the head of its response.
+    /// Time from the beginning of a request to the head of its response, after which the request counts as
+    /// slow: the next request follows, and the slow one stays in flight beside it.
     pub response_timeout: Duration,
     /// Bound of the first backoff.
     pub initial_backoff: Duration,
--- a/limiter/src/engine/endpoint_table.rs
+++ b/limiter/src/engine/endpoint_table.rs
@@ -1,4 +1,4 @@
-//! The installed endpoint list: the servers that discovery has announced, and their addresses.
+//! The installed endpoint list: the servers that discovery or the configuration names, and their addresses.
 
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
@@ -23,8 +23,9 @@
 
 impl KnownEndpoint {
     /// Returns whether pooled connections to this server must be closed when `new` is announced, or when the
-    /// server is removed: the server no longer serves, or another process listens. Connections to a process
-    /// that has been replaced must not be used, even if they look alive.
+    /// server is removed: the server no longer serves, or another process listens. Idle connections to a
+    /// process that has been replaced must not be used, even if they look alive. A connection that carries an
+    /// attempt at that moment is examined when the attempt ends.
     fn makes_connections_stale(&self, new: Option<&KnownEndpoint>) -> bool {
         !new.is_some_and(|new| {
             new.is_serving && new.address == self.address && new.started_at == self.started_at
@@ -32,11 +33,12 @@
     }
 }
 
-/// The announced servers by id.
+/// The servers of the installed list by id.
 #[derive(Default)]
 pub struct EndpointTable {
     endpoints: HashMap<ServerId, KnownEndpoint>,
-    /// Whether a serving server has ever been announced.
+    /// Whether a list with a serving server was ever installed: a list of discovery, or the list of the
+    /// configuration.
     ever_had_serving: bool,
 }
 
@@ -52,7 +54,8 @@
         self.endpoints.values().any(|known| known.is_serving)
     }
 
-    /// Returns whether a serving server has ever been announced.
+    /// Returns whether a list with a serving server was ever installed: a list of discovery, or the list of
+    /// the configuration.
     pub fn ever_had_serving(&self) -> bool {
         self.ever_had_serving
     }
--- a/limiter/src/engine/endpoint_updates.rs
+++ b/limiter/src/engine/endpoint_updates.rs
@@ -58,13 +58,13 @@
     /// discovery nor, after it, the peers have answered in time.
     pub(super) fn has_endpoint_list(&self) -> bool {
         let max_wait_ms = self.discovery_timeout_ms() + TOMBSTONE_POLL_TIMEOUT_MS;
-        self.has_announced_list.get() || self.clock.age_ms() > max_wait_ms
+        self.discovery_has_announced.get() || self.clock.age_ms() > max_wait_ms
     }
 
     /// Installs an announcement of discovery. The first announcement is applied to the withheld list of the
     /// configuration.
     pub fn update_endpoints(self: &Rc<Self>, update: EndpointUpdate) {
-        self.has_announced_list.set(true);
+        self.discovery_has_announced.set(true);
         log_invalid_entries(&update);
         let update = match self.withheld_list.take() {
             Some(earlier) => update.applied_to(earlier),
--- a/limiter/src/engine/mod.rs
+++ b/limiter/src/engine/mod.rs
@@ -61,7 +61,7 @@
     upstream: Box<dyn Upstream>,
     gossip: Box<dyn GossipTransport>,
     /// Whether discovery has announced an endpoint list to this process.
-    has_announced_list: Cell<bool>,
+    discovery_has_announced: Cell<bool>,
     /// The endpoint list of the configuration while it is withheld: until discovery has announced what has
     /// changed, or has not answered in time.
     withheld_list: Cell<Option<EndpointUpdate>>,
@@ -117,7 +117,7 @@
             metrics: Metrics::new(),
             upstream,
             gossip,
-            has_announced_list: Cell::new(false),
+            discovery_has_announced: Cell::new(false),
             withheld_list: Cell::new(None),
             is_shutting_down: Cell::new(false),
             state: RefCell::new(State::new(limiter)),
--- a/limiter/src/engine/pending_response.rs
+++ b/limiter/src/engine/pending_response.rs
@@ -8,8 +8,8 @@
 use super::Engine;
 use crate::messages::request::FinalResponse;
 
-/// A submitted request whose final response is awaited. Dropping it before the response counts as a
-/// disconnect of the client.
+/// A submitted request whose final response is awaited. Dropping it before the final response counts as a
+/// disconnect of the client; dropping it afterwards has no effect.
 pub struct PendingResponse {
     engine: Rc<Engine>,
     id: RequestId,
--- a/limiter/src/engine/readiness.rs
+++ b/limiter/src/engine/readiness.rs
@@ -4,9 +4,9 @@
 
 use super::Engine;
 
-/// Time in milliseconds after which a new process is ready even if no server was ever announced to it. A
-/// fleet that was restarted while discovery is down has to answer its clients, if only with advice on when to
-/// retry.
+/// Time in milliseconds after which a new process is ready even if neither discovery nor the configuration
+/// has named a serving server. A fleet that was restarted while discovery is down has to answer its clients,
+/// if only with advice on when to retry.
 const MAX_STARTUP_MS: Millis = 5000.0;
 
 impl Engine {
@@ -19,7 +19,8 @@
         self.has_waited_for_servers() || (self.has_endpoint_list() && self.can_serve())
     }
 
-    /// Returns whether no serving server was ever announced, and the longest time for a startup is over.
+    /// Returns whether no list with a serving server was ever installed, and the longest time for a startup
+    /// is over.
     fn has_waited_for_servers(&self) -> bool {
         let ever_had_serving = self.state.borrow().endpoints.ever_had_serving();
         !ever_had_serving && self.clock.age_ms() > MAX_STARTUP_MS
--- a/limiter/src/engine/timer_queue.rs
+++ b/limiter/src/engine/timer_queue.rs
@@ -35,6 +35,7 @@
 /// A timer in the queue; ordered by time, then by kind.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct QueuedTimer {
+    /// When the timer is due, in microseconds of the core's clock.
     at_us: u64,
     kind: TimerKind,
 }
--- a/limiter/src/frontend/acceptor.rs
+++ b/limiter/src/frontend/acceptor.rs
@@ -112,6 +112,8 @@
     pub(super) async fn close(&mut self) {
         let Some(listener) = self.listener.take() else { return };
         let mut retries = 0;
+        // The number of accepts is bounded, so that clients which connect without end do not prolong the
+        // shutdown.
         for _ in 0..self.engine.config().max_client_connections {
             match listener.try_accept() {
                 Ok(Some(stream)) => self.serve(stream),
--- a/limiter/src/frontend/read_ahead/mod.rs
+++ b/limiter/src/frontend/read_ahead/mod.rs
@@ -38,7 +38,8 @@
 pub(super) use memory::{ReadAheadMemory, ReadAheadShare};
 pub(super) use stream::ReadAheadStream;
 
-/// Bytes read by one call while looking for a disconnect.
+/// Number of bytes that one call reads while looking for a disconnect. The buffer is on the stack, so that an
+/// idle connection needs no memory for it.
 const READ_CHUNK_BYTES: usize = 4096;
 /// Largest number of reads in one check for a disconnect. A client that sends more than this is connected.
 const MAX_READS_PER_CHECK: usize = 8;
--- a/limiter/src/frontend/server.rs
+++ b/limiter/src/frontend/server.rs
@@ -15,8 +15,9 @@
 /// due.
 const TICK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Accepts and serves connections until `stop` yields the name of a signal, then shuts down gracefully: shuts
-/// down the connections, closes the listener, and returns once every request that was accepted is answered.
+/// Accepts and serves connections until `stop` yields the name of a signal, then shuts down gracefully:
+/// shuts down the connections, closes the listener, and returns once every request that was accepted is
+/// answered, or the shutdown has taken the longest time that [`limiter_core::rules::may_exit`] allows.
 ///
 /// Awaited by `main`, whose runtime ends after this returns and cancels the tasks that are left. Cancelling
 /// closes the listener and leaves the connections' tasks running.
--- a/limiter/src/main.rs
+++ b/limiter/src/main.rs
@@ -5,7 +5,8 @@
 //!
 //! - [`frontend`], [`discovery`], [`upstream`] and [`gossip`] use the [`engine`], and not each other.
 //! - The engine uses them through the traits in `engine/ports.rs` only.
-//! - All of them use [`net`], [`runtime`], [`messages`], [`config`], [`endpoints`] and [`observability`].
+//! - [`reload`] changes the address that [`discovery`] watches.
+//! - All of them use [`config`], [`endpoints`], [`messages`], [`runtime`], [`observability`] and [`net`].
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/limiter/src/observability/metrics.rs
+++ b/limiter/src/observability/metrics.rs
@@ -77,8 +77,8 @@
         tracing::error!(%invariant, %detail, "invariant violated");
     }
 
-    /// Writes one log event for each counter and label that has counted something, with the name and the
-    /// label in the notation of Prometheus.
+    /// Writes one log event for each counter without a label, and for each label value that has counted
+    /// something, with the name and the label in the notation of Prometheus.
     pub fn log_all(&self) {
         for line in self.text().lines().filter(|line| !line.starts_with('#')) {
             if let Some((name, value)) = line.rsplit_once(' ') {
--- a/limiter/src/runtime/duration.rs
+++ b/limiter/src/runtime/duration.rs
@@ -9,8 +9,10 @@
 const MAX_S: f64 = 1e9;
 const MILLIS_PER_SECOND: f64 = 1000.0;
 
-/// Returns the duration of `ms` milliseconds, which must be a number. A negative number gives no duration at
-/// all.
+/// Returns the duration of `ms` milliseconds. A negative number gives a duration of zero.
+///
+/// # Panics
+/// If `ms` is not a number (NaN).
 pub fn from_ms(ms: Millis) -> Duration {
     Duration::from_secs_f64((ms / MILLIS_PER_SECOND).clamp(0.0, MAX_S))
 }
--- a/limiter/src/runtime/signals.rs
+++ b/limiter/src/runtime/signals.rs
@@ -18,7 +18,8 @@
 /// Longest time until a signal is noticed whose wake-up was lost: the handler cannot repeat a write that
 /// fails.
 const RECHECK_INTERVAL: Duration = Duration::from_millis(250);
-/// Number of wake-up bytes that are read at once. Each signal writes one.
+/// Number of wake-up bytes that are read at once. Each signal writes one byte. Bytes that remain wake the
+/// task up again.
 const WAKE_UP_BYTES: usize = 64;
 
 /// A signal whose handler sets a flag, which the program takes.
@@ -118,6 +119,11 @@
         }
     }
 
+    /// Waits for a wake-up of a signal handler, and reads it. Cancelling loses no signal: the flags show
+    /// which signals have arrived.
+    ///
+    /// # Errors
+    /// The wake-up could not be read.
     async fn wait_for_wake_up(&self) -> io::Result<()> {
         self.wake_ups.readable().await?;
         self.wake_ups.try_read(&mut [0; WAKE_UP_BYTES]).map(|_| ())
@@ -134,7 +140,7 @@
         self.report.notified().await;
     }
 
-    /// Waits for SIGTERM or SIGINT, and returns the name of the signal.
+    /// Waits for SIGTERM or SIGINT, and returns the name of the signal. Cancelling loses no signal.
     pub async fn stop_requested(&self) -> &'static str {
         self.stop.notified().await;
         self.stopped_by.get()
--- a/limiter/src/upstream/mod.rs
+++ b/limiter/src/upstream/mod.rs
@@ -1,6 +1,7 @@
 //! The servers: attempts at them, and the pool of connections to them.
 //!
-//! Modules, in the order in which to read them; each one uses only those listed after it:
+//! Modules, in the order in which to read them. Each one uses only those listed after it, except that
+//! [`attempt`] takes its connection from [`servers`] and returns it there:
 //!
 //! | module | job |
 //! | --- | --- |
