--- a/fault-shim/src/connections.rs
+++ b/fault-shim/src/connections.rs
@@ -14,7 +14,7 @@
 /// Errors with which `socket` may fail for a moment.
 const SOCKET_ERRORS: [c_int; 4] = [libc::EMFILE, libc::ENFILE, libc::ENOBUFS, libc::ENOMEM];
 
-/// Draws the error of an `accept`.
+/// Draws the error with which an `accept` fails, or `None` if the call is passed on.
 fn draw_accept_error() -> Option<c_int> {
     if should_inject(Fault::Interrupt) {
         return Some(libc::EINTR);
--- a/fault-shim/src/inject.rs
+++ b/fault-shim/src/inject.rs
@@ -6,10 +6,11 @@
 
 use crate::plan::{plan, Fault};
 
-/// State of the random number generator that decides which calls fail.
+/// State of the random number generator that decides which calls fail. The generator is seeded by adding the
+/// seed of the plan to each state.
 static RANDOM: AtomicU64 = AtomicU64::new(0);
 
-/// The next random number (`SplitMix64`: Steele, Lea and Flood, "Fast splittable pseudorandom number
+/// Returns the next random number (`SplitMix64`: Steele, Lea and Flood, "Fast splittable pseudorandom number
 /// generators").
 pub(crate) fn random() -> u64 {
     let mut z = RANDOM.fetch_add(0x9e37_79b9_7f4a_7c15, Ordering::Relaxed).wrapping_add(plan().seed);
--- a/fault-shim/src/lib.rs
+++ b/fault-shim/src/lib.rs
@@ -5,6 +5,15 @@
 //! The environment sets the frequency of each fault in calls per thousand; see [`mod@plan`]. This is the only
 //! crate of the project that contains `unsafe` code: each exported function replaces the function of the C
 //! library with the same name and signature, and calls the original through `real`.
+//!
+//! | module | job |
+//! | --- | --- |
+//! | `plan` | which faults the environment asks for, and how often |
+//! | `inject` | the random draws that decide which calls fail, and how a call fails |
+//! | `connections` | replacements of `socket`, `connect` and `accept` |
+//! | `transfers` | replacements of the calls that read and write |
+//! | `waits` | replacements of `epoll_wait` and `clock_gettime` |
+//! | `real` | the original functions |
 
 mod connections;
 mod inject;
--- a/fault-shim/src/real.rs
+++ b/fault-shim/src/real.rs
@@ -20,6 +20,7 @@
     pointer
 }
 
+/// Defines, for each function of the C library, a function of the same name that returns the original.
 macro_rules! real {
     ($($name:ident: fn($($type:ty),*) -> $result:ty;)*) => {$(
         pub(crate) fn $name() -> unsafe extern "C" fn($($type),*) -> $result {
--- a/fault-shim/src/transfers.rs
+++ b/fault-shim/src/transfers.rs
@@ -29,7 +29,7 @@
     Interrupted,
 }
 
-/// Longest transfer that is cut short, in bytes.
+/// Largest number of bytes to which a transfer is cut short.
 const MAX_SHORT_BYTES: size_t = 64;
 
 /// Draws what happens to a transfer of `length` bytes. Only sockets are affected, and only streams are cut
@@ -45,7 +45,8 @@
     }
 }
 
-/// Replaces some resets of connections by other errors that Linux reports for a broken connection.
+/// Replaces the error of some calls that failed because of a reset by other errors that Linux reports for a
+/// broken connection. Returns `result` unchanged.
 fn vary_reset(result: ssize_t) -> ssize_t {
     if result < 0 && errno() == libc::ECONNRESET && should_inject(Fault::Broken) {
         set_errno(random_error(&[libc::ETIMEDOUT, libc::EHOSTUNREACH]));
@@ -117,7 +118,8 @@
     writev;
 }
 
-/// Replaces the function of the C library with the same name. Only interruptions are injected.
+/// Replaces the function of the C library with the same name. Calls are interrupted and resets are varied,
+/// but no transfer is cut short.
 ///
 /// # Safety
 /// The same as for the original function.
@@ -130,7 +132,8 @@
     vary_reset(unsafe { real::recvmsg()(fd, message, flags) })
 }
 
-/// Replaces the function of the C library with the same name. Only interruptions are injected.
+/// Replaces the function of the C library with the same name. Calls are interrupted and resets are varied,
+/// but no transfer is cut short.
 ///
 /// # Safety
 /// The same as for the original function.
--- a/soak/src/deployment.rs
+++ b/soak/src/deployment.rs
@@ -110,10 +110,11 @@
     pub gossip_delay: Duration,
     /// Fraction of the gossip messages that is lost.
     pub gossip_loss: f64,
-    /// Seconds by which the wall clocks of the limiters are off.
+    /// Seconds by which the wall clocks are off, of those limiters that run with the fault injection library.
     pub clock_offset_s: i64,
 }
 
+/// Draws a time of at least `min` and at most `max` milliseconds.
 fn random_ms(rng: &mut StdRng, min: u64, max: u64) -> Duration {
     Duration::from_millis(rng.random_range(min..=max))
 }
--- a/soak/src/http.rs
+++ b/soak/src/http.rs
@@ -65,7 +65,7 @@
         Connection { stream, buffer: Vec::new() }
     }
 
-    /// Reads the next message.
+    /// Reads the next message. Cancelling loses no bytes: what was read stays in the buffer.
     ///
     /// # Errors
     /// The connection ends first, or its bytes are not a message.
@@ -92,6 +92,10 @@
         }
     }
 
+    /// Reads more bytes into the buffer. Cancelling loses no bytes.
+    ///
+    /// # Errors
+    /// `at_end` if the connection has ended.
     async fn fill(&mut self, at_end: ReadError) -> Result<(), ReadError> {
         match self.stream.read_buf(&mut self.buffer).await {
             Ok(length) if length > 0 => Ok(()),
@@ -100,6 +104,7 @@
     }
 
     /// Waits until the peer closes the connection. Bytes that arrive until then are stored for the next read.
+    /// Cancelling loses no bytes.
     pub async fn closed_by_peer(&mut self) {
         while self.fill(ReadError::Ended).await.is_ok() {}
     }
--- a/soak/src/invariants/attempts.rs
+++ b/soak/src/invariants/attempts.rs
@@ -6,8 +6,8 @@
 use crate::deployment::{DedupScope, Idempotency};
 use crate::record::{Attempt, ClientRequest, Outcome, RequestId, ServerRecord, HARNESS_DELAY};
 
-/// No new request may reach a server this long after the limiter was notified of its withdrawal: the grace
-/// period of the settings and the slack on sockets.
+/// No new request may reach a server this long after the limiter was notified of its withdrawal: 250 ms of
+/// grace by the operators' rules, and 50 ms of slack on sockets.
 const DRAIN_GRACE: Duration = Duration::from_millis(250 + 50);
 /// No attempt may begin this long after its client has disconnected.
 const DISCONNECT_GRACE: Duration = Duration::from_millis(100);
--- a/soak/src/invariants/mod.rs
+++ b/soak/src/invariants/mod.rs
@@ -1,5 +1,14 @@
-//! The invariants that limiters must keep, checked on the record of a run. A file for each family of
-//! invariants.
+//! The invariants that limiters must keep, checked on the record of a run.
+//!
+//! | invariant | checked by |
+//! | --- | --- |
+//! | [`Invariant::Response`] | `responses`; `attempts`, for attempts after a disconnect of the client |
+//! | [`Invariant::SingleExecution`] | `attempts`, for overlaps and retries; `responses`, for rejections |
+//! | [`Invariant::PropagatedDeadline`] | `attempts` |
+//! | [`Invariant::Draining`] | `attempts`, from the times in `notifications` |
+//! | [`Invariant::SlowStart`] | `slow_start`, from the times in `notifications` |
+//! | [`Invariant::Ceiling`] | `ceilings` |
+//! | [`Invariant::Process`] | `processes`, with the faults that the parties recorded during the run |
 
 mod attempts;
 mod ceilings;
--- a/soak/src/limiter_process/configuration.rs
+++ b/soak/src/limiter_process/configuration.rs
@@ -35,7 +35,8 @@
     }
 }
 
-/// Returns a seed for the limiter's own random draws, which are not part of the run's draw.
+/// Returns a seed for the random draws of the limiter itself, which are not part of the run's draw: a seed of
+/// the soak does not reproduce them.
 fn random_seed() -> u64 {
     Instant::now().elapsed().as_nanos() as u64 ^ u64::from(process::id())
 }
--- a/soak/src/record.rs
+++ b/soak/src/record.rs
@@ -8,6 +8,7 @@
 pub type RequestId = u64;
 
 /// How late the harness itself may read or write, because its tasks share the machine with the limiters.
+/// Every check of a measured time allows for this.
 pub const HARNESS_DELAY: Duration = Duration::from_millis(40);
 
 /// How a request ended for its client.
@@ -66,7 +67,7 @@
     pub first_byte_at: Instant,
     /// When the last byte arrived.
     pub last_byte_at: Instant,
-    /// The deadline that the limiter propagated to the server, in seconds from now on.
+    /// The time left that the limiter propagated to the server, in seconds; `None` if the request had none.
     pub propagated_deadline_s: Option<f64>,
     /// When the response was written, or when the connection ended.
     pub ended_at: Option<Instant>,
--- a/soak/src/run/mod.rs
+++ b/soak/src/run/mod.rs
@@ -22,14 +22,15 @@
 use crate::record::SharedRecord;
 use crate::report::Report;
 
-/// Time after the last request within which all requests end.
+/// Time after the last request within which all requests end: longer than the longest timeout of a client, 4
+/// s, and [`crate::clients::RESPONSE_GRACE`], 0.5 s.
 const SETTLE_TIME: Duration = Duration::from_secs(5);
 /// Fraction of the runs that begin with a quiet period, after which limiters have measured nothing of the
 /// servers.
 const QUIET_START_FRACTION: f64 = 0.25;
 /// Duration of that quiet period.
 const QUIET_PERIOD: Duration = Duration::from_secs(8);
-/// Steps of the wall clocks in seconds.
+/// Steps of the wall clocks in seconds, of which a run draws one. With 0 the clocks are not stepped.
 const CLOCK_STEPS_S: [i64; 5] = [0, 3, -3, 3600, -3600];
 /// Of a thousand connections that break in the preloaded library, how many report another error than a reset.
 const BROKEN_PER_MILLE: u32 = 500;
@@ -61,7 +62,7 @@
     pub folder: PathBuf,
 }
 
-/// Everything that a seed decides.
+/// Everything that a seed decides, for a given number of limiters and servers.
 struct Draw {
     deployment: Deployment,
     /// The environment of the fault injection library.
--- a/soak/src/server/respond.rs
+++ b/soak/src/server/respond.rs
@@ -126,7 +126,7 @@
     }
 
     /// Waits for a slot, and occupies it for the latency of the server, which is longer while the server is
-    /// cold.
+    /// cold. Cancelling frees the slot, or ends the wait for one.
     async fn wait_and_work(&self, latency: Duration) {
         let waiting = CountWhileHeld::new(&self.num_waiting);
         let _slot = self.slots.acquire().await;
