--- a/limiter/src/config/limits.rs
+++ b/limiter/src/config/limits.rs
@@ -24,6 +24,7 @@
 /// hold in any case. The bytes use a part of the sixth that the connections leave spare, because a buffer may
 /// allocate twice its content.
 const READ_AHEAD_DIVISOR: f64 = 16.0;
+/// Bytes in a megabyte, as the platform counts memory.
 const BYTES_PER_MB: f64 = 1e6;
 
 /// Bounds on open connections.
--- a/limiter/src/engine/clock.rs
+++ b/limiter/src/engine/clock.rs
@@ -8,8 +8,8 @@
 
 use crate::runtime::duration;
 
-/// Number of random bits of the origin of a clock, in milliseconds. 40 bits are about 35 years; a 64-bit
-/// float represents such a time to much less than a microsecond.
+/// Number of random bits in the origin of a clock, which is a number of milliseconds. 40 bits are about 35
+/// years; a 64-bit float represents such a time to an eighth of a microsecond.
 const ORIGIN_BITS: u32 = 40;
 
 /// Time in milliseconds of the monotonic clock, counted from a random origin.
--- a/limiter/src/engine/endpoint_updates.rs
+++ b/limiter/src/engine/endpoint_updates.rs
@@ -12,8 +12,9 @@
 /// Time in milliseconds that a new process waits for an announcement of discovery where lists are subscribed
 /// to. Afterwards the list of the configuration counts as current.
 const SUBSCRIBED_DISCOVERY_TIMEOUT_MS: Millis = 2000.0;
-/// The same time where lists are pushed: an agent on this machine answers immediately, unless it knows
-/// nothing.
+/// Time in milliseconds that a new process waits for an announcement of discovery where lists are pushed. An
+/// agent on this machine answers immediately, unless it knows nothing. Afterwards the list of the
+/// configuration counts as current.
 const PUSHED_DISCOVERY_TIMEOUT_MS: Millis = 500.0;
 /// Time in milliseconds in which peers answer a new process that has installed the list of the configuration
 /// and polls them for tombstones. The process is ready only afterwards, and clients connect only then.
--- a/limiter/src/engine/pending.rs
+++ b/limiter/src/engine/pending.rs
@@ -39,8 +39,10 @@
     pub response: oneshot::Receiver<FinalResponse>,
 }
 
+/// An attempt that was started and whose end has not been recorded.
 struct InFlightAttempt {
     started_at: Millis,
+    /// Sends the outcome with which the attempt is to be cancelled.
     cancel: oneshot::Sender<Outcome>,
 }
 
@@ -166,11 +168,14 @@
     }
 
     /// Asks an attempt to close its connection and then to end with this outcome. Only the first call for an
-    /// attempt has an effect.
+    /// attempt has an effect. The attempt stays in flight until its end is recorded, so that no other
+    /// attempt of the request begins before its connection is closed.
     pub fn cancel_attempt(&mut self, id: AttemptId, outcome: Outcome) {
         if let Some(attempt) = self.in_flight.get_mut(&id) {
-            let (used, _) = oneshot::channel();
-            let _ = std::mem::replace(&mut attempt.cancel, used).send(outcome);
+            // A sender can be used once. The placeholder that replaces the sender has no receiver, so that
+            // later calls have no effect.
+            let (placeholder, _) = oneshot::channel();
+            let _ = std::mem::replace(&mut attempt.cancel, placeholder).send(outcome);
         }
     }
 }
--- a/limiter/src/engine/submission.rs
+++ b/limiter/src/engine/submission.rs
@@ -18,8 +18,10 @@
 pub struct DuplicateRequest;
 
 impl Engine {
-    /// Submits a client's request. `arrival` is the arrival of its last byte, which may be some time ago; the
-    /// deadline counts from then.
+    /// Submits a client's request. `arrival` is the arrival of the last byte of the request, which may have
+    /// waited since then in the read-ahead buffer. The deadline of the request counts from the moment at
+    /// which that byte was read. The deadline that servers are given counts from the earliest moment at
+    /// which the byte may have arrived, which is earlier after a stall of the process.
     ///
     /// # Errors
     /// [`DuplicateRequest`] if a request with the same correlation id is pending.
--- a/limiter/src/engine/timer_queue.rs
+++ b/limiter/src/engine/timer_queue.rs
@@ -12,9 +12,9 @@
 pub enum TimerKind {
     /// The core has set the timer.
     Decision(TimerToken),
-    /// The time of an attempt is over.
+    /// The deadline of the client passes while an attempt is in flight.
     AttemptTimeout(AttemptId),
-    /// The client of a request abandons the request.
+    /// The deadline of a request passes: the client abandons the request.
     Deadline(RequestId),
 }
 
@@ -28,6 +28,7 @@
     None,
 }
 
+/// Microseconds in a millisecond.
 const MICROS_PER_MILLI: f64 = 1000.0;
 /// Value of [`TimerQueue::armed_us`] while the waiting task waits for no time.
 const NOT_ARMED: u64 = u64::MAX;
--- a/limiter/src/frontend/connection.rs
+++ b/limiter/src/frontend/connection.rs
@@ -76,7 +76,8 @@
         self.drive(http, &read_ahead).await
     }
 
-    /// Polls hyper, and closes the connection when another side asks for it.
+    /// Polls hyper, and closes the connection when the table of connections asks for that or the client
+    /// disconnects.
     ///
     /// The order of the branches matters. hyper is polled first, so that bytes which have arrived are read
     /// before another branch closes the connection. The other branches are cancelled whenever one of them
@@ -116,7 +117,7 @@
     }
 
     /// Counts and logs the end of the connection. While a response is outstanding, only the client may end
-    /// it.
+    /// the connection: anything else is the violation of an invariant.
     fn record_close(&self, reason: ClientCloseReason) {
         let metrics = self.engine.metrics();
         let id = self.connection.id();
--- a/limiter/src/frontend/connection_state.rs
+++ b/limiter/src/frontend/connection_state.rs
@@ -37,8 +37,8 @@
     /// When the connection was accepted, a response became ready, or a response was written; the latest of
     /// these.
     last_active: Cell<Instant>,
-    /// Since when a request has been arriving that is not complete. The first request of a connection counts
-    /// as arriving from the accept on.
+    /// When the first byte of a request arrived whose rest is still missing. The first request of a
+    /// connection counts as arriving from the accept on.
     incomplete_since: Cell<Option<Instant>>,
     /// The response that is ready is the last one. Nothing more is read.
     has_last_response: Cell<bool>,
--- a/limiter/src/frontend/read_ahead/stream.rs
+++ b/limiter/src/frontend/read_ahead/stream.rs
@@ -37,8 +37,9 @@
     /// Returns whether hyper may be given bytes now. Begins the next request if the response to the last one
     /// is ready.
     ///
-    /// hyper reads on after a complete request to see the end of the stream, for which
-    /// [`ReadAhead::poll_disconnected`] looks in its place, and once more after the response is written.
+    /// After a complete request, hyper reads on to see the end of the stream. That read is refused, and
+    /// [`ReadAhead::poll_disconnected`] looks for the end of the stream instead. hyper reads again when it is
+    /// woken after the response has been written.
     fn may_read(&mut self) -> bool {
         if !self.framer.is_complete() {
             return true;
--- a/limiter/src/frontend/request/body.rs
+++ b/limiter/src/frontend/request/body.rs
@@ -12,7 +12,8 @@
 
 /// Most bytes that are read and discarded of a body that is too large, so that its sender sees the response.
 const MAX_DISCARDED_BYTES: usize = 1 << 20;
-/// Longest time for which a body that is too large is read and discarded.
+/// Longest time for which a body that is too large is read and discarded. Together with
+/// [`MAX_DISCARDED_BYTES`] this bounds what a client can make the limiter read for nothing.
 const DISCARD_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Why the body of a request is invalid. The message is the body of the response.
--- a/limiter/src/frontend/request/path.rs
+++ b/limiter/src/frontend/request/path.rs
@@ -3,9 +3,9 @@
 use super::head::RequestHeadError;
 use crate::config::Config;
 
-/// Length of a customer id in the path.
+/// Length of a customer id in the path, as the protocol defines it.
 const CUSTOMER_HEX_DIGITS: usize = 16;
-/// Customer ids are below this bound.
+/// Customer ids are below this bound, as the protocol defines it.
 const CUSTOMER_END: u64 = 1 << 33;
 
 /// The class and the customer that a path names.
--- a/limiter/src/main.rs
+++ b/limiter/src/main.rs
@@ -83,7 +83,7 @@
 
 /// Serves until SIGTERM or SIGINT, and finishes the accepted requests.
 async fn run() -> Result<(), StartError> {
-    // The handlers are installed first, because a SIGHUP ends the program until it is handled.
+    // The signal handlers are installed first, because SIGHUP ends a process that has no handler for it.
     let signals = Rc::new(Signals::install()?);
     let config = Config::from_environment()?;
     let _log = logging::start(config.name.clone());
--- a/limiter/src/net/mod.rs
+++ b/limiter/src/net/mod.rs
@@ -1,6 +1,6 @@
 //! Sockets that handle everything that system calls may do by Linux's documentation.
 //!
-//! tokio's own sockets assume after a read or write which transfers less than its buffer that the socket is
+//! The sockets of tokio assume after a read or write which transfers less than its buffer that the socket is
 //! drained or full, and wait until the system reports it as ready once more. A transfer may be short for
 //! other reasons, and then that report never arrives. They also return interruptions (EINTR) as errors. The
 //! sockets here count as ready until a call says that it would block, and repeat a call that was interrupted.
--- a/limiter/src/observability/labels.rs
+++ b/limiter/src/observability/labels.rs
@@ -147,7 +147,7 @@
         Established => "established",
         /// As many connections are open as may be, and none of them is idle.
         NoPermit => "no_permit",
-        /// This host has no descriptor, port or memory left.
+        /// This host has no descriptor, port or memory left, or no route to the server.
         NoLocalResources => "no_local_resources",
         /// The server's host refused the connection or cannot be reached.
         Unreachable => "unreachable",
--- a/limiter/src/runtime/duration.rs
+++ b/limiter/src/runtime/duration.rs
@@ -7,6 +7,7 @@
 /// Longest duration in seconds, about thirty years. Longer ones are cut to it, so that no clock of the
 /// program overflows.
 const MAX_S: f64 = 1e9;
+/// Milliseconds in a second.
 const MILLIS_PER_SECOND: f64 = 1000.0;
 
 /// Returns the duration of `ms` milliseconds. A negative number gives a duration of zero.
--- a/limiter/src/upstream/attempt.rs
+++ b/limiter/src/upstream/attempt.rs
@@ -85,7 +85,7 @@
     let request = build_request(job, address, job.server_deadline - engine.now())?;
     let response = connection.drive(async move |sender| exchange(sender, request).await).await?;
     // A server that has stopped serving must receive no further request on this connection. The connection is
-    // dropped, since nothing else would close it.
+    // dropped here, since nothing else would close it. The start time of the server is not compared.
     let is_serving = engine.serving_address(&job.server) == Some(address);
     if is_serving && connection.is_alive() {
         servers.put_idle(&job.server, connection);
--- a/limiter/src/upstream/connection.rs
+++ b/limiter/src/upstream/connection.rs
@@ -38,7 +38,7 @@
     /// As many connections are open as may be, and none of them is idle.
     #[error("no more connections may be open")]
     NoPermit,
-    /// The descriptors, ports or memory of this host are exhausted.
+    /// The descriptors, ports or memory of this host are exhausted, or the host has no route to the server.
     #[error("connect failed: {0}")]
     LocalResources(#[source] io::Error),
     /// The server's host refused the connection or cannot be reached.
--- a/limiter/src/upstream/pool.rs
+++ b/limiter/src/upstream/pool.rs
@@ -46,9 +46,10 @@
     /// Returns a connection to a server: the one that was used last, among those whose reuse delay has passed
     /// and that are alive.
     ///
-    /// A connection that the server has closed, or on which it has written without a request, is closed here,
-    /// before it is used. A request on it would end in a reset, or take what the server wrote for its
-    /// response.
+    /// A connection that the server has closed, or on which it has written without a request, is closed
+    /// here, before it is used. A request on such a connection would end in a reset, or would receive as its
+    /// response what the server wrote. Nothing polls a connection while it is idle: bytes that arrive in
+    /// that time are noticed here.
     pub fn take_idle(&mut self, server: &ServerId) -> Option<PooledConnection> {
         let max_idle_ms = self.max_idle_ms;
         let connections = self.idle.get_mut(server)?;
--- a/soak/src/faults/discovery.rs
+++ b/soak/src/faults/discovery.rs
@@ -35,7 +35,8 @@
     harness.discovery.reset_watches();
 }
 
-/// Makes discovery answer late. An agent on the limiter's own host never does.
+/// Makes discovery answer late, where lists are subscribed to. An agent on the host of the limiter, which
+/// pushes lists, never answers late.
 pub async fn slow(harness: &Harness, rng: &mut SmallRng) {
     if !harness.deployment.subscribes {
         return;
--- a/soak/src/faults/servers.rs
+++ b/soak/src/faults/servers.rs
@@ -18,7 +18,8 @@
 const SLOW_LATENCY: Duration = Duration::from_millis(700);
 /// Bound on the duration of a server's misbehaviour in milliseconds.
 const MAX_MISBEHAVIOUR_MS: u64 = 3000;
-/// The same for unresponsive servers, which may stay so through the whole of a shutdown.
+/// Bound on the time for which a server is unresponsive, in milliseconds. A server may be unresponsive
+/// through the whole of a shutdown.
 const MAX_UNRESPONSIVE_MS: u64 = 6000;
 
 /// Replaces some servers: each drains and is removed after a while, and a new one starts.
--- a/soak/src/main.rs
+++ b/soak/src/main.rs
@@ -39,9 +39,10 @@
 use cost::CostOptions;
 use run::RunOptions;
 
-/// Worker threads of the stand-ins.
+/// Number of threads on which the stand-ins of a run are executed.
 const WORKER_THREADS: usize = 8;
-/// Time for the stand-ins of a run to end.
+/// Longest time for which the stand-ins of a run are awaited after the run. Those that are left are
+/// abandoned.
 const RUNTIME_SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Real limiters on loopback under overlapping faults.
@@ -112,7 +113,7 @@
     Ok(if failed.is_empty() { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
 
-/// Runs a future to its end on a runtime of its own, which ends all stand-ins.
+/// Runs a future to its end on a separate runtime, whose end also ends all stand-ins.
 fn block_on<T>(future: impl Future<Output = io::Result<T>>) -> io::Result<T> {
     let runtime = Builder::new_multi_thread().worker_threads(WORKER_THREADS).enable_all().build()?;
     let result = runtime.block_on(future);
