--- a/limiter/src/runtime/arrival.rs
+++ b/limiter/src/runtime/arrival.rs
@@ -11,8 +11,9 @@
 
 /// Longest time between two iterations of the event loop in a process that is not stalled. The periodic
 /// control step of the core wakes the event loop every 100 ms; the rest allows for the delay of a timer on a
-/// busy host. Bytes that are read after a longer time may have arrived at any moment since the last
-/// iteration.
+/// busy host. The control steps begin with the first event of the core, so that a longer time from the start
+/// of the process to that event counts as a stall, too. Bytes that are read after a longer time may have
+/// arrived at any moment since the last iteration.
 const MAX_ITERATION_INTERVAL: Duration = Duration::from_millis(120);
 /// Time after a stall in which everything that arrived during the stall is read, counted from the first
 /// iteration after the stall.
