--- a/limiter-core/src/admission/feedback.rs
+++ b/limiter-core/src/admission/feedback.rs
@@ -36,7 +36,7 @@
 
     /// Scales the value with the slot limit, which has moved from `previous_limit` to `slot_limit`, and
     /// subtracts the correction. Without a correction alpha stays as it was. The result is high enough for
-    /// alpha to stay below [`MAX_ALPHA`], and at most the slot limit.
+    /// alpha not to exceed [`MAX_ALPHA`], and at most the slot limit.
     fn adjust(&mut self, previous_limit: f64, slot_limit: f64, correction: f64) {
         let min = (slot_limit / (MAX_ALPHA + 1.0)).max(MIN_NUM_BIG_QUERIES);
         let scaled = self.value * slot_limit / previous_limit;
--- a/limiter-core/src/admission/slot_limit.rs
+++ b/limiter-core/src/admission/slot_limit.rs
@@ -11,7 +11,8 @@
 const MIN_SLOTS_PER_SERVER: f64 = 6.0;
 /// Lower bound of the slot limit of one limiter.
 const MIN_SLOT_LIMIT: f64 = 2.0;
-/// Relative growth of the slot limit in one control step with a negative error.
+/// Relative growth of the slot limit in one control step without a positive error. The limit grows by more
+/// where the servers already sustain more.
 const LIMIT_GROWTH: f64 = 0.03;
 /// Fraction of the slot limit that must be in use for the limit to grow. An unused limit says nothing about
 /// what the servers can take.
@@ -38,9 +39,12 @@
         self.slots
     }
 
-    /// Makes one step of the feedback. A positive error lowers the limit to the slots that the servers
-    /// sustain; more attempts in flight would only wait at the servers. A negative error raises the limit by
-    /// [`LIMIT_GROWTH`], but at least to what the servers sustain, while most of the limit is in use.
+    /// Makes one step of the feedback.
+    ///
+    /// A positive error lowers the limit, in one step, to the slots that the servers sustain; more attempts in
+    /// flight would only wait at the servers. Any other error raises the limit by [`LIMIT_GROWTH`], but at
+    /// least to what the servers sustain and at most to [`INITIAL_SLOT_LIMIT`], while more than
+    /// [`MIN_USED_FRACTION`] of the limit is in use.
     pub fn adjust(&mut self, error: f64, sustainable_slots: f64, slots_in_use: f64) {
         if error > 0.0 {
             self.slots = self.slots.min(sustainable_slots);
--- a/limiter-core/src/admission/slots.rs
+++ b/limiter-core/src/admission/slots.rs
@@ -46,8 +46,8 @@
         alpha * self.cost_classes.lower_bound(cost_units) / self.cost_classes.highest_bound() + 1.0
     }
 
-    /// Returns whether so many slots are free. A request always fits while no attempt is in flight: otherwise
-    /// a request that takes more than the slot limit would never be forwarded.
+    /// Returns whether so many slots are free. A request always fits while no attempt occupies slots:
+    /// otherwise a request that takes more than the slot limit would never be forwarded.
     pub fn fits(&self, now: Millis, slots: f64) -> bool {
         self.slot_usage.occupied <= 0.0 || self.slot_usage.in_use(now) + slots <= self.slot_limit.slots()
     }
--- a/limiter-core/src/endpoints/announcements.rs
+++ b/limiter-core/src/endpoints/announcements.rs
@@ -14,14 +14,14 @@
     ) {
         self.tombstones.discovery_lost = false;
         self.apply_endpoints(complete, endpoints, out);
-        // The servers of a first announcement may have started long ago: they are dated before this is
-        // recorded.
+        // The servers of a first announcement may have started long ago. They have been dated by now, as
+        // servers that were announced before discovery was connected.
         self.endpoints.start_times.connected();
     }
 
-    /// Installs the endpoint list from the configuration file. The list may be stale and discovery has not
-    /// responded yet, so several peers are polled immediately for servers that have departed since it was
-    /// written.
+    /// Installs the endpoint list from the configuration file. Discovery has not responded yet, which counts
+    /// as a failure of the watch. The list may be stale, so several peers are polled immediately for servers
+    /// that have departed since the list was written.
     pub(crate) fn on_endpoints_configured(&mut self, endpoints: &[Endpoint], out: &mut Vec<Action>) {
         self.apply_endpoints(true, endpoints, out);
         self.on_watch_failed(out);
--- a/limiter-core/src/endpoints/outlier.rs
+++ b/limiter-core/src/endpoints/outlier.rs
@@ -1,7 +1,8 @@
 //! Outlier detection: the health of a server as observed by this limiter, and when the server is ejected.
 //!
-//! Errors and timeouts eject a server for a time that doubles until the server gives a good response. A
-//! server that rejects a request as full is passed over for a moment, without an ejection.
+//! Errors and timeouts eject a server for a time that doubles with each ejection, up to a bound, until the
+//! server gives a good response after an ejection has ended. A server that rejects a request as full is passed
+//! over for a moment, without an ejection.
 
 use super::latency::SmoothedLatency;
 use crate::decay::DecayingSum;
@@ -16,7 +17,7 @@
 const MAX_ERROR_RATE: f64 = 0.4;
 /// Number of consecutive timeouts at which a server is ejected.
 const MAX_CONSECUTIVE_TIMEOUTS: u32 = 3;
-/// Duration of a first ejection in milliseconds. Each further one is twice as long.
+/// Duration of a first ejection in milliseconds. Each further one is twice as long, until a good response.
 const MIN_EJECTION_MS: Millis = 1000.0;
 /// Longest duration of an ejection in milliseconds.
 const MAX_EJECTION_MS: Millis = 8000.0;
--- a/limiter-core/src/endpoints/routing.rs
+++ b/limiter-core/src/endpoints/routing.rs
@@ -91,9 +91,9 @@
         }
         // Slow starts of other warming sets are due as well when they may have ended: their servers are
         // candidates from then on.
-        let warming_elsewhere =
+        let warming_outside_subset =
             self.ring.not_visited(first, num_visited, self.slow_starts.due_for_refill(now));
-        for server in warming_elsewhere {
+        for server in warming_outside_subset {
             self.consider(context, request, &server, &mut search);
         }
         self.find_next_slow_start_end(now, &context.settings);
--- a/limiter-core/src/endpoints/slow_start.rs
+++ b/limiter-core/src/endpoints/slow_start.rs
@@ -15,8 +15,9 @@
 
 /// Shortest slow start in milliseconds. Guards a division: a setting of 0 means that there is no slow start.
 const MIN_SLOW_START_MS: Millis = 1.0;
-/// Number of limiters that send to a server in slow start. Each may have saved up one request, so that
-/// hundreds of limiters could overload the server at one moment, and each would have to open a connection.
+/// Number of limiters that send to a server in slow start. The number is small because each of them may have
+/// saved up one request and has to open a connection: hundreds of limiters could overload the server at one
+/// moment.
 const WARMING_SET_SIZE: u32 = 12;
 /// Fraction of the load that a cold server can sustain, by the guaranteed capacity and the throughput of warm
 /// servers, that all limiters together send to it. The rest allows for requests that arrive at the same time.
--- a/limiter-core/src/endpoints/start_times.rs
+++ b/limiter-core/src/endpoints/start_times.rs
@@ -54,7 +54,7 @@
         self.wall_clock_offset_ms = Some(unix_ms - now);
     }
 
-    /// Records that discovery has announced changes, or that there are none.
+    /// Records that discovery has answered: it notifies this limiter of changes from now on.
     pub(super) fn connected(&mut self) {
         self.discovery = DiscoveryState::Connected;
     }
--- a/limiter-core/src/endpoints/tombstone_gossip.rs
+++ b/limiter-core/src/endpoints/tombstone_gossip.rs
@@ -11,11 +11,12 @@
 use crate::gossip::GossipLine;
 use crate::limiter::Limiter;
 
-/// Time between two polls in milliseconds. About ten polls, each of another peer, fit into the time after
+/// Time between two polls in milliseconds. About ten polls, each of a random peer, fit into the time after
 /// which a change counts as notified.
 const POLL_INTERVAL_MS: Millis = 500.0;
-/// Polls that are sent immediately by a process that installs its configured list. One poll may be lost, and
-/// a polled peer may have been started just now as well.
+/// Number of polls that a process sends immediately when it installs its configured list. One poll may be
+/// lost, and a polled peer may have been started just now as well. The peers are drawn at random, so that two
+/// polls may go to the same peer.
 const STARTUP_POLLS: u32 = 4;
 
 impl Limiter {
@@ -26,7 +27,8 @@
         }
     }
 
-    /// Polls the next peer if discovery does not answer and the last poll is long enough ago.
+    /// Polls a random peer if discovery does not answer and the last poll was [`POLL_INTERVAL_MS`] ago or
+    /// earlier.
     pub(crate) fn poll_peers_for_tombstones(&mut self, out: &mut Vec<Action>) {
         let is_due = self.context.now - self.tombstones.last_poll_at >= POLL_INTERVAL_MS;
         if self.tombstones.discovery_lost && is_due {
@@ -34,6 +36,7 @@
         }
     }
 
+    /// Polls a peer that is drawn at random. Does nothing without peers or gossip.
     fn poll_random_peer(&mut self, out: &mut Vec<Action>) {
         let limiters = self.context.settings.limiters;
         if !self.context.settings.can_gossip || limiters <= 1 {
--- a/limiter-core/src/event/timer.rs
+++ b/limiter-core/src/event/timer.rs
@@ -15,7 +15,7 @@
     LatencyObjective(RequestId),
     /// The server of an attempt is checked for having been silent since the attempt was sent.
     SilenceCheck(RequestId),
-    /// The reply of a quota owner is late.
+    /// The reply of a quota owner is checked for being late.
     GrantReply(RequestId),
     /// The send allowance covers another gossip message.
     GossipFlush,
--- a/limiter-core/src/lib.rs
+++ b/limiter-core/src/lib.rs
@@ -17,8 +17,8 @@
 //!   them.
 //! - **Determinism.** All random numbers come from the seed of a limiter. The same settings, seed, events and
 //!   times lead to the same actions, so that every run can be repeated.
-//! - **Bounded state.** Each request ends by its deadline, and everything else that a limiter holds expires
-//!   or is bounded by a constant; see [`CacheSizes`].
+//! - **Bounded state.** Each request ends by its deadline unless its response has begun to stream, and
+//!   everything else that a limiter holds expires or is bounded by a constant; see [`CacheSizes`].
 //!
 //! # Where to begin reading
 //!
--- a/limiter-core/src/limiter.rs
+++ b/limiter-core/src/limiter.rs
@@ -46,14 +46,16 @@
     pub(crate) is_started: bool,
 }
 
-/// The number of records that a limiter holds. Each number is bounded, whatever events arrive.
+/// The number of records that a limiter holds. Requests end and the records of quotas expire, so that their
+/// numbers are bounded by the rate of the events; the retention of quotas also becomes shorter the more quotas
+/// there are. The gossip queue has a fixed bound.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CacheSizes {
     /// Quotas of which the limiter is a member.
     pub member_quotas: usize,
     /// Quotas that the limiter owns.
     pub owner_quotas: usize,
-    /// Grant decisions that the limiter has made as an owner.
+    /// Recent decisions that the limiter has made as an owner: grants and denials.
     pub grants: usize,
     /// Pending requests.
     pub requests: usize,
--- a/limiter-core/src/quota/member/fallback.rs
+++ b/limiter-core/src/quota/member/fallback.rs
@@ -23,8 +23,9 @@
     UnknownQuota,
 }
 
-/// How often owners grant the requests of customers about whom the member has no valid reply. The fraction
-/// predicts the decision for such a customer while no owner can be asked.
+/// How often owners grant the requests of unknown customers: those about whom the member has had no reply, or
+/// none that is still valid. The fraction predicts the decision on a customer about whom no owner has ever
+/// replied, while no owner can be asked.
 #[derive(Debug)]
 pub(super) struct UnknownCustomerGrants {
     granted_fraction: DecayingMean,
@@ -65,9 +66,10 @@
     ///
     /// A share that can hold the request decides alone, so the probability is 0. A smaller share admits with
     /// at least the fraction of the request that is in the bucket: with demand far above the quota, all
-    /// members together then spend the quota. A known customer is admitted at least at the probability that
-    /// brings its last known demand down to the quota, an unknown customer at the fraction of grants for
-    /// other unknown customers.
+    /// members together then spend the quota. If an owner has ever replied about the customer, however long
+    /// ago, the probability is at least the one that brings the demand in the last reply down to the quota.
+    /// Otherwise the probability is at least the fraction of grants for unknown customers, see
+    /// [`UnknownCustomerGrants`].
     fn admission_probability(
         &self,
         now: Millis,
--- a/limiter-core/src/quota/member/mod.rs
+++ b/limiter-core/src/quota/member/mod.rs
@@ -23,8 +23,8 @@
 use owner_health::OwnerHealth;
 use reply_wait::ReplyWait;
 
-/// Milliseconds for which the demand in an owner's reply is valid. Afterwards the customer is unknown to this
-/// member until the next reply.
+/// Milliseconds for which the demand in an owner's reply is valid. Afterwards the member sheds no requests of
+/// the customer until the next reply, which counts as a reply about an unknown customer.
 const REPLY_VALIDITY_MS: Millis = 4000.0;
 
 /// What this limiter knows, as a member, about quotas and their owners.
--- a/limiter-core/src/quota/owner/expiry.rs
+++ b/limiter-core/src/quota/owner/expiry.rs
@@ -7,13 +7,14 @@
 use crate::event::Millis;
 use crate::quota::retention::retention_ms;
 
-/// Shortest time in milliseconds for which an owner remembers a decision. Duplicates of the quota request and
-/// the settlement arrive within this time or within the longest latency objective.
+/// Shortest time in milliseconds for which an owner remembers a decision; the longest latency objective
+/// applies where that is longer. After this time, a duplicate of the quota request is decided on anew, and a
+/// settlement is ignored.
 const MIN_DECISION_RETENTION_MS: Millis = 8000.0;
 
 impl OwnedQuotas {
-    /// Expires grants, and drops old decisions and the quotas of customers that have not been seen for their
-    /// retention time.
+    /// Expires grants, drops old decisions, and drops the quotas that no member has requested units of for
+    /// their retention time.
     pub fn expire(&mut self, context: &Context) {
         self.expire_decisions(context);
         let count = self.quotas.len();
--- a/limiter-core/src/request/queue.rs
+++ b/limiter-core/src/request/queue.rs
@@ -34,7 +34,8 @@
     }
 
     /// Forwards queued requests, the oldest first, and finishes those that have become overdue. Stops at the
-    /// first request that still cannot be forwarded.
+    /// first request that still cannot be forwarded. Later requests are not examined and may be queued for
+    /// longer than [`max_queue_ms`]; the timers of each request end it in any case.
     pub(crate) fn drain_queue(&mut self, out: &mut Vec<Action>) {
         for _ in 0..self.requests.queue.len() {
             let Some(id) = self.requests.queue.pop_front() else { return };
--- a/limiter-core/src/request/timeouts.rs
+++ b/limiter-core/src/request/timeouts.rs
@@ -93,8 +93,9 @@
     /// against servers that never respond, for instance because they hang or because their network is
     /// partitioned.
     ///
-    /// The attempt is cancelled and made at another server where that is allowed. That wastes work where the
-    /// server is merely idle otherwise and the request is costly; the retry budget bounds the waste.
+    /// The attempt is cancelled and made at another server where that is allowed. A server that has only this
+    /// one, costly, request of this limiter looks the same as a server that hangs, and its work is then wasted;
+    /// the retry budget bounds the waste.
     fn check_silence(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(key) = self.attempt_to_check(id) else { return };
         let Some(remaining_ms) = self.silence_timeout_in_ms(key) else { return };
--- a/limiter-core/src/rules/mod.rs
+++ b/limiter-core/src/rules/mod.rs
@@ -8,8 +8,12 @@
 //! - `shutdown.rs`: whether the process may exit.
 //!
 //! The caller collects the facts of one moment in a struct, and each rule is a pure function of these facts.
-//! A rule that forbids something returns the reason. The caller must act on the answer before any other event
-//! is processed, because the facts may change with any event.
+//! The caller must act on the answer before any other event is processed, because the facts may change with
+//! any event. The rules on attempts return the reason against an attempt. The decisions discard that reason;
+//! the program logs the reason for which an attempt was not written to its server.
+//!
+//! A request that may be attempted again is not always attempted: the retry budget (`request/retry.rs`) and the
+//! choice of a server (`endpoints/routing.rs`) limit attempts further.
 
 mod attempts;
 mod client_connections;
--- a/limiter-core/src/settings/mod.rs
+++ b/limiter-core/src/settings/mod.rs
@@ -28,7 +28,8 @@
     pub event_interval_ms: Millis,
     /// Largest number of attempts for one request, including the first.
     pub max_attempts: u32,
-    /// Time in milliseconds after which a connection that is not established counts as failed.
+    /// Time in milliseconds after which a connection that is not established counts as failed. Used by the
+    /// program alone: no decision depends on this time.
     pub connect_timeout_ms: Millis,
     /// Whether gossip messages may be sent to other limiters.
     pub can_gossip: bool,
