--- a/limiter-core/src/admission/signals.rs
+++ b/limiter-core/src/admission/signals.rs
@@ -19,7 +19,8 @@
 pub(super) struct Signals {
     /// Latency of the attempts of this limiter, as a fraction of the latency objective.
     local_latency: DecayingMean,
-    /// The same, together with the latencies that peers report.
+    /// The same, together with the latencies that peers report. Each gossip message with a latency is one
+    /// sample.
     latency: DecayingMean,
     /// Fraction of the attempts that full servers rejected.
     rejected: DecayingMean,
@@ -57,6 +58,7 @@
         self.set_span(now, span_ms.clamp(MIN_SMOOTHING_MS, MAX_SMOOTHING_MS));
     }
 
+    /// Changes the time constant of all measurements.
     fn set_span(&mut self, now: Millis, span_ms: Millis) {
         for mean in [&mut self.local_latency, &mut self.latency, &mut self.rejected] {
             mean.set_span(now, span_ms);
--- a/limiter-core/src/admission/slot_limit.rs
+++ b/limiter-core/src/admission/slot_limit.rs
@@ -41,8 +41,8 @@
 
     /// Makes one step of the feedback.
     ///
-    /// A positive error lowers the limit, in one step, to the slots that the servers sustain; more attempts in
-    /// flight would only wait at the servers. Any other error raises the limit by [`LIMIT_GROWTH`], but at
+    /// A positive error lowers the limit, in one step, to the slots that the servers sustain; more attempts
+    /// in flight would only wait at the servers. Any other error raises the limit by [`LIMIT_GROWTH`], but at
     /// least to what the servers sustain and at most to [`INITIAL_SLOT_LIMIT`], while more than
     /// [`MIN_USED_FRACTION`] of the limit is in use.
     pub fn adjust(&mut self, error: f64, sustainable_slots: f64, slots_in_use: f64) {
--- a/limiter-core/src/context.rs
+++ b/limiter-core/src/context.rs
@@ -18,10 +18,10 @@
     /// The source of all random draws. The same seed and the same events therefore lead to the same actions.
     ///
     /// Draws are made to shed requests (`quota/member/shedding.rs`), to admit requests without an owner
-    /// (`quota/member/fallback.rs`), to choose between servers (`endpoints/routing.rs`), to begin a slow start
-    /// (`endpoints/slow_start.rs`) and to choose a peer to poll (`endpoints/tombstone_gossip.rs`). The order of
-    /// the draws must not depend on the iteration order of a hash table: collections that are iterated over are
-    /// ordered.
+    /// (`quota/member/fallback.rs`), to choose between servers (`endpoints/routing.rs`), to begin a slow
+    /// start (`endpoints/slow_start.rs`) and to choose a peer to poll (`endpoints/tombstone_gossip.rs`). The
+    /// order of the draws must not depend on the iteration order of a hash table: collections that are
+    /// iterated over are ordered.
     pub rng: fastrand::Rng,
 }
 
--- a/limiter-core/src/dispatch.rs
+++ b/limiter-core/src/dispatch.rs
@@ -82,9 +82,10 @@
     /// Runs the periodic work: the smoothing of measurements, slow start, polls for tombstones, the feedback
     /// of admission control, the queue, the log of ejections, and the expiry of quota records.
     ///
-    /// The order matters: the feedback reads the measurements with the time constant of this step, and the queue
-    /// is drained against the slow start budgets and the slot limit of this step. Polls and the queue draw
-    /// random numbers and append actions, so that another order would also change every run with the same seed.
+    /// The order matters: the feedback reads the measurements with the time constant of this step, and the
+    /// queue is drained against the slow start budgets and the slot limit of this step. Polls and the queue
+    /// draw random numbers and append actions, so that another order would also change every run with the
+    /// same seed.
     fn control_step(&mut self, out: &mut Vec<Action>) {
         let now = self.context.now;
         self.last_step_at = now;
--- a/limiter-core/src/endpoints/attempts.rs
+++ b/limiter-core/src/endpoints/attempts.rs
@@ -1,4 +1,4 @@
-//! What attempts in flight, and their ends, tell of their servers.
+//! What the start, the end and the timeout of an attempt change in the records of servers.
 //!
 //! An attempt refers to the record of its server by id. A server may be removed, or removed and announced
 //! again, while the attempt is in flight: the end of the attempt then changes no record, because the new
@@ -60,7 +60,8 @@
     }
 
     /// Returns the usual latency of a server if the server has not responded to anything after the time
-    /// `since`.
+    /// `since`, and `None` if it has or is not announced. A server that was removed and announced again
+    /// counts by its new record.
     pub(crate) fn latency_if_silent(&self, now: Millis, server: &ServerId, since: Millis) -> Option<Millis> {
         let health = &self.by_id.get(server)?.health;
         if health.last_response_at < since {
--- a/limiter-core/src/endpoints/mod.rs
+++ b/limiter-core/src/endpoints/mod.rs
@@ -10,11 +10,11 @@
 //!
 //! **What happens to an attempt whose server is removed.** The attempt stays in flight, and its response
 //! counts. Its end frees its slots and counts in the baseline latency of all servers, but changes no record:
-//! the record was removed, and if the server has been announced again, it has a new record with another id.
-//! A silence check that is due while the server is not announced does nothing, because there is no latency to
-//! compare with, and no other check follows. If the server has been announced again by then, the check compares
-//! with the latency of the new record and may cancel the attempt, but that timeout does not count against the
-//! new record either.
+//! the record was removed, and if the server has been announced again, it has a new record with another id. A
+//! silence check that is due while the server is not announced does nothing, because there is no latency to
+//! compare with, and no other check follows. If the server has been announced again by then, the check
+//! compares with the latency of the new record and may cancel the attempt, but that timeout does not count
+//! against the new record either.
 //!
 //! An attempt whose server is draining, or restarts under the same id without being removed, is treated like
 //! any other: the server has the same record, and the end of the attempt counts for that record. Only new
--- a/limiter-core/src/endpoints/outlier.rs
+++ b/limiter-core/src/endpoints/outlier.rs
@@ -1,8 +1,8 @@
 //! Outlier detection: the health of a server as observed by this limiter, and when the server is ejected.
 //!
 //! Errors and timeouts eject a server for a time that doubles with each ejection, up to a bound, until the
-//! server gives a good response after an ejection has ended. A server that rejects a request as full is passed
-//! over for a moment, without an ejection.
+//! server gives a good response after an ejection has ended. A server that rejects a request as full is
+//! passed over for a moment, without an ejection.
 
 use super::latency::SmoothedLatency;
 use crate::decay::DecayingSum;
@@ -89,8 +89,8 @@
     }
 
     /// Records the end of an attempt. `timed_out` is true if this limiter cancelled the attempt because there
-    /// was no response; an attempt that is cancelled for another reason tells nothing of the server. Returns
-    /// the reason if the server is ejected now.
+    /// was no response; an attempt that is cancelled for another reason says nothing about the server.
+    /// Returns the reason if the server is ejected now.
     pub(super) fn record_attempt_end(
         &mut self,
         now: Millis,
--- a/limiter-core/src/endpoints/slow_start_upkeep.rs
+++ b/limiter-core/src/endpoints/slow_start_upkeep.rs
@@ -7,8 +7,8 @@
 use crate::settings::Settings;
 
 impl Endpoints {
-    /// Measures the throughput of warm servers and refills the budgets of the servers in slow start by it.
-    /// Ends the slow starts whose time is over.
+    /// Measures the throughput of warm servers and, guided by that measurement, refills the budgets of the
+    /// servers in slow start. Ends the slow starts whose time is over.
     pub(crate) fn update_slow_start(&mut self, context: &Context) {
         self.measure_warm_throughput(context);
         let due: Vec<ServerId> = self.slow_starts.due_for_refill(context.now).iter().cloned().collect();
--- a/limiter-core/src/endpoints/throughput.rs
+++ b/limiter-core/src/endpoints/throughput.rs
@@ -18,9 +18,9 @@
     /// Measures the good responses per second that this limiter gets from one warm server.
     ///
     /// Only good responses of servers that are serving count. Requests that were rejected, or sent to other
-    /// servers, show nothing of what a server can sustain: when few warm servers were left, the number of such
-    /// requests was many times what these servers sustained. Without any warm server the last measurement
-    /// remains, or the estimate from the servers in slow start, if that is more.
+    /// servers, show nothing of what a server can sustain: when few warm servers were left, the number of
+    /// such requests was many times what these servers sustained. Without any warm server the last
+    /// measurement remains, or the estimate from the servers in slow start, if that is more.
     pub(super) fn measure_warm_throughput(&mut self, context: &Context) {
         let now = context.now;
         if self.num_warm() == 0 {
--- a/limiter-core/src/event/endpoint.rs
+++ b/limiter-core/src/event/endpoint.rs
@@ -34,7 +34,7 @@
     pub weight: f64,
     /// When the server last started, in milliseconds of the clock of discovery; 0 if that was long ago. The
     /// offset between that clock and the clock of the events is arbitrary. The time therefore only
-    /// distinguishes one start of the server from another, and tells how long before or after other servers
+    /// distinguishes one start of the server from another, and shows how long before or after other servers
     /// the server started.
     pub started_at: Millis,
 }
--- a/limiter-core/src/gossip/codec.rs
+++ b/limiter-core/src/gossip/codec.rs
@@ -85,7 +85,7 @@
 }
 
 /// Lays out a struct as the fields before the semicolon, one after the other. The field after the semicolon
-/// is not written: the kind of the line tells it.
+/// is not written, because the kind of the line determines its value.
 macro_rules! layout {
     ($name:ident { $($field:ident: $type:ty),* $(; $flag:ident)? }) => {
         impl $name {
--- a/limiter-core/src/gossip/flush.rs
+++ b/limiter-core/src/gossip/flush.rs
@@ -8,9 +8,11 @@
 use crate::quota::GrantKey;
 use crate::request::RequestTable;
 
-/// Fraction of the messages per second that a limiter accepts which this limiter sends to all peers together.
+/// Largest rate at which this limiter sends messages to all peers together, as a fraction of the rate at
+/// which one limiter accepts messages.
 const ALLOWANCE_FRACTION: f64 = 0.8;
-/// Time in milliseconds after which a queued reply is dropped: the member no longer waits for it.
+/// Time in milliseconds after which a queued reply is dropped: the reply would arrive too late for the member
+/// that requested the units.
 const REPLY_EXPIRY_MS: Millis = 250.0;
 
 impl QueuedLine {
--- a/limiter-core/src/gossip/messages.rs
+++ b/limiter-core/src/gossip/messages.rs
@@ -3,8 +3,8 @@
 use crate::endpoints::Fingerprint;
 use crate::event::{CustomerId, RequestId};
 
-/// A member's request to the owner of a quota for the units of one client request, or its report that they
-/// are spent.
+/// A member's request to the owner of a quota for the units of one client request, or the member's report
+/// that it has spent these units.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) struct QuotaRequest {
     /// Id of the client request at the member.
--- a/limiter-core/src/gossip/mod.rs
+++ b/limiter-core/src/gossip/mod.rs
@@ -9,7 +9,7 @@
 //! | --- | --- |
 //! | 1 | magic number |
 //! | 2 | checksum over all other bytes |
-//! | 4 | incarnation of the sender, which tells one start of a limiter from another |
+//! | 4 | incarnation of the sender, which distinguishes one start of a limiter from another |
 //! | 1 | smoothed latency of the sender's responses, in 254ths of the latency objective; 255 for none |
 //! | the rest | lines: one byte for the kind, then the fields of that kind, each of a fixed length |
 //!
--- a/limiter-core/src/gossip/receive.rs
+++ b/limiter-core/src/gossip/receive.rs
@@ -25,6 +25,7 @@
         }
     }
 
+    /// Handles one line of a message from a peer with this incarnation.
     fn on_gossip_line(&mut self, from: u32, incarnation: u32, line: GossipLine, out: &mut Vec<Action>) {
         match line {
             GossipLine::QuotaRequest(request) => {
--- a/limiter-core/src/limiter.rs
+++ b/limiter-core/src/limiter.rs
@@ -47,8 +47,8 @@
 }
 
 /// The number of records that a limiter holds. Requests end and the records of quotas expire, so that their
-/// numbers are bounded by the rate of the events; the retention of quotas also becomes shorter the more quotas
-/// there are. The gossip queue has a fixed bound.
+/// numbers are bounded by the rate of the events; the retention of quotas also becomes shorter the more
+/// quotas there are. The gossip queue has a fixed bound.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CacheSizes {
     /// Quotas of which the limiter is a member.
--- a/limiter-core/src/quota/member/even_share.rs
+++ b/limiter-core/src/quota/member/even_share.rs
@@ -7,7 +7,8 @@
 use crate::settings::Plan;
 
 /// Fraction of the quota's burst that must be left in the owner's bucket, according to the member's estimate,
-/// before the member spends without asking. This reserve absorbs what other members spend at the same time.
+/// before the member spends without asking. The estimate does not include what other members spend at the
+/// same time; the reserve is for their units.
 const MIN_OWNER_TOKENS_FRACTION: f64 = 0.5;
 
 /// Rate and capacity of the token bucket for one member's even share.
--- a/limiter-core/src/quota/member/grant_requests.rs
+++ b/limiter-core/src/quota/member/grant_requests.rs
@@ -11,7 +11,7 @@
 /// at the owner, and again at the member.
 const REPLY_INTERVALS: f64 = 2.0;
 /// Fraction of the latency objective, from the arrival of a request, within which owners are asked.
-/// Afterwards the even share decides, because the rest of the objective is needed to execute the request.
+/// Afterwards the even share decides, so that the rest of the objective is left to execute the request.
 const REPLY_DEADLINE_FRACTION: f64 = 0.4;
 
 impl Limiter {
--- a/limiter-core/src/quota/member/owner_health.rs
+++ b/limiter-core/src/quota/member/owner_health.rs
@@ -4,9 +4,11 @@
 
 use crate::event::Millis;
 
-/// Consecutive quota requests without a reply after which an owner counts as silent.
+/// Quota requests without a reply, and with no gossip received from the owner in between, after which an
+/// owner counts as silent.
 const SILENT_OWNER_MISSES: u32 = 3;
-/// Milliseconds since the last missed reply for which a silent owner is not asked.
+/// Milliseconds since the last missed reply for which a silent owner is not asked. Afterwards the owner is
+/// asked again; one more missed reply makes the owner silent for the same time again.
 const SILENT_OWNER_MS: Millis = 1000.0;
 /// Quota requests without a reply, at any owners and with no gossip received since, after which all owners
 /// count as silent: this limiter is probably partitioned from its peers.
--- a/limiter-core/src/quota/owner/bucket.rs
+++ b/limiter-core/src/quota/owner/bucket.rs
@@ -51,7 +51,8 @@
     pub ceiling: TokenBucket,
     /// Units granted under the ceiling that a member may still spend.
     pub outstanding_units: f64,
-    /// Requests granted and not settled.
+    /// Requests that were granted, and whose grants are neither settled nor expired. Units that a member
+    /// reported as spent are not counted.
     pub in_flight: u32,
     /// Units requested by all members, smoothed.
     demand: DecayingSum,
@@ -99,8 +100,8 @@
     }
 
     /// Returns the customer's demand as a multiple of its quota. While the quota of attempts in flight is
-    /// full, the quota is the rate that was admitted, as the rate that fits is not known in advance. Returns
-    /// 0 without a quota.
+    /// full, the quota is the rate that was admitted, as the rate that fits is not known in advance.
+    /// Otherwise the quota is the rate of the plan; returns 0 for a plan without a rate.
     pub fn demand_ratio(&self, now: Millis, plan: &Plan) -> f64 {
         let is_full = plan.max_in_flight > 0 && self.in_flight >= plan.max_in_flight;
         let quota = if is_full {
--- a/limiter-core/src/quota/retention.rs
+++ b/limiter-core/src/quota/retention.rs
@@ -9,16 +9,16 @@
 const IDLE_RETENTION_MS: Millis = 60_000.0;
 /// Retention of an unused quota as a multiple of the time in which its buckets refill from empty. Grants
 /// overdraw the bucket of the rate quota by one burst at most, so the bucket is full again after two refills,
-/// as the bucket of a new quota is: no customer gains units because its quota was dropped. The exceptions are a
-/// settlement that overdrew the bucket further, and a retention that was shortened. The bucket of a ceiling
+/// as the bucket of a new quota is: no customer gains units because its quota was dropped. The exceptions are
+/// a settlement that overdrew the bucket further, and a retention that was shortened. The bucket of a ceiling
 /// starts as if spent, so that a dropped ceiling gains nothing either.
 const REFILL_RETENTION_FACTOR: f64 = 2.0;
 /// Number of quotas, about 3 MB of memory, up to which each is retained for its full time. Beyond that number
 /// the retention becomes shorter in proportion: a flood of new customers must not exhaust the memory.
 ///
 /// The number is no hard bound. With a steady `r` new customers per second and a full retention of 60 s, the
-/// number of quotas settles where `count = r * 60 * 10 000 / count`: at about 24 500 for 1000 new customers per
-/// second.
+/// number of quotas settles where `count = r * 60 * 10 000 / count`: at about 24 500 for 1000 new customers
+/// per second.
 const FULL_RETENTION_QUOTAS: f64 = 10_000.0;
 
 /// Returns how long a quota is retained after its last use, while `count` quotas are retained in total.
--- a/limiter-core/src/readiness.rs
+++ b/limiter-core/src/readiness.rs
@@ -14,8 +14,8 @@
     ///
     /// The token buckets of the ceilings that this limiter owns start as if spent, because an earlier
     /// incarnation of the limiter may have spent them. The limiter is ready when these buckets have filled.
-    /// The limiter is ready at once if a peer serves requests already, because clients then need every
-    /// limiter, or if limiters cannot gossip.
+    /// The limiter is ready at once if a peer serves requests already, because the deployment is then short
+    /// of this limiter, or if limiters cannot gossip.
     #[must_use]
     pub fn is_ready(&self, now: Millis) -> bool {
         let age_ms = now - self.context.started_at;
--- a/limiter-core/src/request/attempts.rs
+++ b/limiter-core/src/request/attempts.rs
@@ -44,8 +44,9 @@
     pub slots: f64,
     /// Index of the class of the request.
     pub class: usize,
-    /// Whether this limiter cancelled the attempt because no response arrived in time. The outcome then
-    /// counts as a timeout of the server.
+    /// Whether this limiter cancelled the attempt because no response arrived in time: after a silence check,
+    /// or at the end of its request. The outcome [`Outcome::Cancelled`] then counts as a timeout of the
+    /// server.
     pub cancelled: bool,
 }
 
@@ -65,7 +66,8 @@
 }
 
 impl Limiter {
-    /// Starts an attempt at a server, which occupies the slots until it ends.
+    /// Starts an attempt at a server. The attempt occupies the slots until the attempt ends or a silence
+    /// check releases them.
     pub(super) fn forward(&mut self, id: RequestId, server: ServerId, slots: f64, out: &mut Vec<Action>) {
         let Some(pending) = self.requests.pending.get_mut(&id) else { return };
         if pending.attempts == 0 {
--- a/limiter-core/src/request/mod.rs
+++ b/limiter-core/src/request/mod.rs
@@ -3,10 +3,11 @@
 //! A request passes these steps. Each file holds one of them, with the constants and the state that belong to
 //! it:
 //!
-//! 1. [`arrival`]: the request is validated, may be shed, is recorded as pending and gets its timers. The
-//!    quota of its customer then admits or denies it (see [`crate::quota`]).
+//! 1. [`arrival`]: the request is validated, may be rejected as overdue or be shed, is recorded as pending
+//!    and gets its timers. The quota of its customer, if there is one, then admits or denies the request (see
+//!    [`crate::quota`]).
 //! 2. [`queue`]: an admitted request is forwarded as soon as its slots are free and a server is available.
-//!    Until then, it is queued for a fraction of its latency objective.
+//!    Until then, the request is queued, for a fraction of its latency objective.
 //! 3. [`attempts`]: the request is forwarded to a server, and the end of the attempt is recorded.
 //! 4. [`retry`]: an attempt without a good response is followed by another one where a second execution is
 //!    safe and the retry budget allows it.
--- a/limiter-core/src/request/timeouts.rs
+++ b/limiter-core/src/request/timeouts.rs
@@ -94,8 +94,8 @@
     /// partitioned.
     ///
     /// The attempt is cancelled and made at another server where that is allowed. A server that has only this
-    /// one, costly, request of this limiter looks the same as a server that hangs, and its work is then wasted;
-    /// the retry budget bounds the waste.
+    /// one, costly, request of this limiter looks the same as a server that hangs, and its work is then
+    /// wasted; the retry budget bounds the waste.
     fn check_silence(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(key) = self.attempt_to_check(id) else { return };
         let Some(remaining_ms) = self.silence_timeout_in_ms(key) else { return };
--- a/limiter-core/src/rules/client_connections.rs
+++ b/limiter-core/src/rules/client_connections.rs
@@ -50,7 +50,7 @@
     }
 
     /// Returns whether no response is outstanding and no request is arriving. An idle connection may be
-    /// closed shortly, because its client sends a request again that has not been read.
+    /// closed: a request that its client sends at that moment is not read, and the client sends it again.
     #[must_use]
     pub fn is_idle(&self) -> bool {
         self.open_requests == 0 && self.incomplete_for_ms.is_none()
--- a/limiter-core/src/rules/mod.rs
+++ b/limiter-core/src/rules/mod.rs
@@ -12,8 +12,8 @@
 //! any event. The rules on attempts return the reason against an attempt. The decisions discard that reason;
 //! the program logs the reason for which an attempt was not written to its server.
 //!
-//! A request that may be attempted again is not always attempted: the retry budget (`request/retry.rs`) and the
-//! choice of a server (`endpoints/routing.rs`) limit attempts further.
+//! A request that may be attempted again is not always attempted: the retry budget (`request/retry.rs`) and
+//! the choice of a server (`endpoints/routing.rs`) limit attempts further.
 
 mod attempts;
 mod client_connections;
