--- a/limiter-core/src/quota/member/even_share.rs
+++ b/limiter-core/src/quota/member/even_share.rs
@@ -9,6 +9,9 @@
 /// Fraction of the quota's burst that must be left in the owner's bucket, according to the member's estimate,
 /// before the member spends without asking. The estimate does not include what other members spend at the
 /// same time; the reserve is for their units.
+///
+/// Owners other than the first grant from a bucket of half the burst. As a rule, a reply from one of them
+/// therefore ends the spending without asking, until the first owner replies again.
 const MIN_OWNER_TOKENS_FRACTION: f64 = 0.5;
 
 /// Rate and capacity of the token bucket for one member's even share.
--- a/limiter-core/src/quota/member/mod.rs
+++ b/limiter-core/src/quota/member/mod.rs
@@ -88,12 +88,14 @@
 struct MemberQuota {
     /// Token bucket of the member's even share, in units.
     even_share: TokenBucket,
-    /// The customer's demand at all limiters as a multiple of the quota, according to the last reply.
+    /// The customer's demand at all limiters as a multiple of the quota, according to the last reply of any
+    /// owner.
     demand_ratio: f64,
     /// Time of the last reply from an owner; negative infinity before the first.
     last_reply_at: Millis,
-    /// Estimate of the units left in the owner's bucket: the level in the last reply, minus the units that
-    /// this member has spent from its even share since. The bucket counts as full until the first reply.
+    /// Estimate of the units left in the owner's bucket: the level in the last reply of any owner, minus the
+    /// units that this member has spent from its even share since. The bucket counts as full until the first
+    /// reply.
     estimated_owner_tokens: f64,
     /// Units shed since the last reply. The owner has not counted these units as demand yet.
     unreported_units: f64,
