--- a/limiter-core/src/admission/signals.rs
+++ b/limiter-core/src/admission/signals.rs
@@ -122,8 +122,8 @@
         self.completed.rate(now)
     }
 
-    /// Returns the mean latency objective of the successful responses; lower with less than one recent
-    /// response.
+    /// Returns the mean latency objective of the successful responses, or less than the mean once their
+    /// number has decayed to less than one.
     pub fn mean_objective_ms(&self, now: Millis) -> Millis {
         self.objectives_ms.value(now) / self.completed.value(now).max(1.0)
     }
--- a/limiter-core/src/decay.rs
+++ b/limiter-core/src/decay.rs
@@ -46,8 +46,8 @@
     }
 }
 
-/// Total weight of the samples below which [`DecayingMean`] has no value: half of a new sample. A single
-/// sample therefore has a mean until 0.69 time constants after it was added.
+/// Total weight of the samples that a [`DecayingMean`] must exceed to have a value: half of a new sample. The
+/// mean of a single sample therefore has a value until 0.69 time constants after the sample was added.
 const MIN_SAMPLE_WEIGHT: f64 = 0.5;
 
 /// The mean of samples whose weight decays exponentially.
@@ -72,7 +72,7 @@
         self.weight.add(now, 1.0);
     }
 
-    /// Returns the mean, or `None` if the samples have decayed too far to tell.
+    /// Returns the mean, or `None` if the samples have decayed to [`MIN_SAMPLE_WEIGHT`] or less.
     pub fn value(&self, now: Millis) -> Option<f64> {
         let weight = self.weight.value(now);
         if weight > MIN_SAMPLE_WEIGHT {
--- a/limiter-core/src/lib.rs
+++ b/limiter-core/src/lib.rs
@@ -12,9 +12,9 @@
 //!   actions as further events: the end of an attempt, a timer that has fired.
 //! - **No input or output.** There is no clock, thread, socket, file or shared state inside. Time passes only
 //!   by the times of the events.
-//! - **Control step.** Every 100 ms, a timer triggers the periodic work: the feedback of admission control,
-//!   slow start, the queue, and the expiry of records. All other decisions are made when an event requires
-//!   them.
+//! - **Control step.** Every 100 ms, a timer triggers the periodic work: slow start, polls of peers while
+//!   discovery does not answer, the feedback of admission control, the queue, the log of ejections, and the
+//!   expiry of records. All other decisions are made when an event requires them.
 //! - **Determinism.** All random numbers come from the seed of a limiter. The same settings, seed, events and
 //!   times lead to the same actions, so that every run can be repeated.
 //! - **Bounded state.** Each request ends by its deadline unless its response has begun to stream, and
--- a/limiter-core/src/request/retry.rs
+++ b/limiter-core/src/request/retry.rs
@@ -1,4 +1,4 @@
-//! Retries: whether a request may be attempted again, and the budget that bounds how many requests are.
+//! Retries: whether a request may be attempted again, and the budget that bounds the number of retries.
 //!
 //! A request that may have been executed is attempted again only if a second execution is safe, see
 //! [`crate::rules::may_execute`].
--- a/limiter-core/src/request/timeouts.rs
+++ b/limiter-core/src/request/timeouts.rs
@@ -35,8 +35,8 @@
         DEADLINE_MARGIN_INTERVALS * self.context.settings.event_interval_ms
     }
 
-    /// Starts the timer of the deadline and, where it is due before that, the timer of the latency objective.
-    /// Both count from the arrival of the request. Returns the deadline.
+    /// Starts the timer of the deadline and, if the latency objective passes before the deadline, the timer
+    /// of the latency objective. Both times count from the arrival of the request. Returns the deadline.
     pub(super) fn start_request_timers(&self, request: &Request, out: &mut Vec<Action>) -> Millis {
         let now = self.context.now;
         let timeout_ms = (request.timeout_ms - request.waited_ms).min(self.shutdown_deadline - now);
