--- a/limiter-core/src/endpoints/attempts.rs
+++ b/limiter-core/src/endpoints/attempts.rs
@@ -4,10 +4,10 @@
 //! again, while the attempt is in flight: the end of the attempt then changes no record, because the new
 //! record has another id.
 
-use super::record::EndpointRecord;
+use super::record::{EndpointRecord, RecordId, ServerLocation};
 use super::registry::Endpoints;
 use crate::event::{Ejection, EjectionReason, Millis, Outcome, ServerId};
-use crate::request::{AttemptRecord, RecordId, ServerLocation};
+use crate::request::AttemptRecord;
 
 /// The server of an attempt at the time at which the attempt was sent.
 #[derive(Debug, Clone, Copy)]
--- a/limiter-core/src/endpoints/mod.rs
+++ b/limiter-core/src/endpoints/mod.rs
@@ -57,6 +57,6 @@
 mod tombstones;
 
 pub(crate) use attempts::AttemptTarget;
-pub(crate) use record::Fingerprint;
+pub(crate) use record::{Fingerprint, RecordId, ServerLocation};
 pub(crate) use registry::Endpoints;
 pub(crate) use tombstones::Tombstones;
--- a/limiter-core/src/endpoints/record.rs
+++ b/limiter-core/src/endpoints/record.rs
@@ -4,7 +4,18 @@
 use super::slow_start::SlowStart;
 use crate::event::{Endpoint, EndpointState, Millis};
 use crate::hashing::endpoint_hash;
-use crate::request::{RecordId, ServerLocation};
+
+/// Identifies the record of a server. No limiter uses a number twice.
+pub(crate) type RecordId = u64;
+
+/// The location of a server.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(crate) struct ServerLocation {
+    /// Zone of the server.
+    pub zone: u32,
+    /// Cell of the server.
+    pub cell: u32,
+}
 
 /// Identifies one start of one server in gossip: the low bits of the hash of the server's id and start time.
 /// A server that restarts gets another fingerprint.
--- a/limiter-core/src/endpoints/registry.rs
+++ b/limiter-core/src/endpoints/registry.rs
@@ -5,13 +5,12 @@
 
 use super::ejection_log::EjectionLog;
 use super::latency::SmoothedLatency;
-use super::record::{EndpointRecord, Fingerprint};
+use super::record::{EndpointRecord, Fingerprint, RecordId};
 use super::ring::ServerRing;
 use super::slow_start_index::SlowStartIndex;
 use super::start_times::StartTimes;
 use crate::context::Context;
 use crate::event::{Endpoint, EndpointState, Millis, ServerId};
-use crate::request::RecordId;
 
 /// Weight of the newest latency in the baseline latency, which smooths the responses of all servers and
 /// therefore gets many more samples than the latency of a single server.
--- a/limiter-core/src/request/attempts.rs
+++ b/limiter-core/src/request/attempts.rs
@@ -2,7 +2,7 @@
 
 use super::retry::PossibleExecution;
 use crate::admission::EndedAttempt;
-use crate::endpoints::AttemptTarget;
+use crate::endpoints::{AttemptTarget, RecordId, ServerLocation};
 use crate::event::{Action, Millis, Outcome, RequestId, ServerId};
 use crate::limiter::Limiter;
 
@@ -15,18 +15,6 @@
     pub number: u32,
 }
 
-/// Identifies the record of a server. No limiter uses a number twice.
-pub(crate) type RecordId = u64;
-
-/// The location of a server.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) struct ServerLocation {
-    /// Zone of the server.
-    pub zone: u32,
-    /// Cell of the server.
-    pub cell: u32,
-}
-
 /// An attempt in flight.
 #[derive(Debug)]
 pub(crate) struct AttemptRecord {
--- a/limiter-core/src/request/mod.rs
+++ b/limiter-core/src/request/mod.rs
@@ -30,7 +30,7 @@
 mod table;
 mod timeouts;
 
-pub(crate) use attempts::{AttemptEnd, AttemptKey, AttemptRecord, RecordId, ServerLocation};
+pub(crate) use attempts::{AttemptEnd, AttemptKey, AttemptRecord};
 pub(crate) use pending::{AwaitedReply, PendingRequest};
 pub(crate) use retry::RetryBudget;
 pub(crate) use table::RequestTable;
--- a/limiter-core/src/request/retry.rs
+++ b/limiter-core/src/request/retry.rs
@@ -3,9 +3,9 @@
 //! A request that may have been executed is attempted again only if a second execution is safe, see
 //! [`crate::rules::may_execute`].
 
-use super::attempts::ServerLocation;
 use super::pending::PendingRequest;
 use crate::context::Context;
+use crate::endpoints::ServerLocation;
 use crate::event::{Action, Millis, RequestId};
 use crate::limiter::Limiter;
 use crate::rules::{self, AttemptFacts, ExecutionFacts};
@@ -68,7 +68,7 @@
             attempts: self.attempts,
             max_attempts: context.settings.max_attempts,
             has_no_value: is_late && class.late_value <= 0.0,
-            repeat: self.execution_facts(context),
+            execution: self.execution_facts(context),
         };
         rules::may_attempt(&facts).is_ok()
     }
--- a/limiter-core/src/rules/attempts.rs
+++ b/limiter-core/src/rules/attempts.rs
@@ -75,7 +75,7 @@
     /// Whether the latency objective has passed and a later response has no value.
     pub has_no_value: bool,
     /// The facts on a second execution.
-    pub repeat: ExecutionFacts,
+    pub execution: ExecutionFacts,
 }
 
 /// Checks that a server may be chosen for a request now, for the first attempt or a retry.
@@ -98,7 +98,7 @@
     if facts.deadline_in_ms <= 0.0 {
         return Err(AttemptDenied::DeadlinePassed);
     }
-    may_execute(facts.repeat)
+    may_execute(facts.execution)
 }
 
 /// The facts that decide whether the first byte of an attempt may be written to its server.
--- a/limiter-core/tests/rules.rs
+++ b/limiter-core/tests/rules.rs
@@ -49,7 +49,7 @@
     attempts: 0,
     max_attempts: 3,
     has_no_value: false,
-    repeat: ExecutionFacts {
+    execution: ExecutionFacts {
         idempotency: Idempotency::NonIdempotent,
         may_have_executed: false,
         dedup_ends_in_ms: f64::INFINITY,
@@ -59,7 +59,7 @@
 #[test]
 fn an_attempt_is_denied_for_each_reason_alone() {
     assert_eq!(may_attempt(&FIRST_ATTEMPT), Ok(()));
-    let executed = ExecutionFacts { may_have_executed: true, ..FIRST_ATTEMPT.repeat };
+    let executed = ExecutionFacts { may_have_executed: true, ..FIRST_ATTEMPT.execution };
     let keyed = ExecutionFacts { idempotency: Idempotency::WithKey, dedup_ends_in_ms: 0.0, ..executed };
     for (facts, denied) in [
         (AttemptFacts { has_attempt_in_flight: true, ..FIRST_ATTEMPT }, AttemptDenied::AnotherInFlight),
@@ -67,8 +67,8 @@
         (AttemptFacts { deadline_in_ms: 0.0, ..FIRST_ATTEMPT }, AttemptDenied::DeadlinePassed),
         (AttemptFacts { attempts: 3, ..FIRST_ATTEMPT }, AttemptDenied::AttemptsExhausted),
         (AttemptFacts { has_no_value: true, ..FIRST_ATTEMPT }, AttemptDenied::NoValueLeft),
-        (AttemptFacts { repeat: executed, ..FIRST_ATTEMPT }, AttemptDenied::MayHaveExecuted),
-        (AttemptFacts { repeat: keyed, ..FIRST_ATTEMPT }, AttemptDenied::DedupWindowOver),
+        (AttemptFacts { execution: executed, ..FIRST_ATTEMPT }, AttemptDenied::MayHaveExecuted),
+        (AttemptFacts { execution: keyed, ..FIRST_ATTEMPT }, AttemptDenied::DedupWindowOver),
     ] {
         assert_eq!(may_attempt(&facts), Err(denied));
     }
