--- a/limiter/tests/attempts.rs
+++ b/limiter/tests/attempts.rs
@@ -43,8 +43,8 @@
     let request = request_with_key("k", "x").replace("X-Time-Left: 3.0", "X-Time-Left: 0.6");
     assert_eq!(limiter.request(&request).status, 502, "it may have run");
     assert!(began.elapsed() < Duration::from_millis(1500), "{:?}", began.elapsed());
-    wait_for("the attempts to be closed", || server.num_closed() == server.num_connections());
-    assert!(server.max_open() == 1, "never two attempts at once");
+    wait_for("the attempts to be closed", || server.num_closed_connections() == server.num_connections());
+    assert!(server.max_open_connections() == 1, "never two attempts at once");
 }
 
 /// The process gets no processor time while a response comes and the request's objective passes: what has come is read
@@ -57,7 +57,7 @@
     wait_for("the attempt", || server.num_received() == 1);
     limiter.signal("STOP");
     // The latency objective of 1 s passes, and a later response would have no value.
-    pause_ms(1300);
+    sleep_ms(1300);
     limiter.signal("CONT");
     assert_eq!(read_response(&mut client).status, 200);
 }
--- a/limiter/tests/connection_pool.rs
+++ b/limiter/tests/connection_pool.rs
@@ -15,7 +15,7 @@
     let server = StubServer::new(|_, stream| {
         write_ok(stream, "once");
         // Long enough for the connection to have gone back to the pool.
-        pause_ms(100);
+        sleep_ms(100);
         let _ = stream.shutdown(Shutdown::Both);
         false
     });
@@ -24,23 +24,23 @@
     for n in 1..=5 {
         assert_eq!(limiter.request(&request_with_key(&format!("k{n}"), "x")).status, 200);
         assert_eq!(server.num_received(), n, "each request came once");
-        wait_for("the server to close", || server.num_closed() == n);
+        wait_for("the server to close", || server.num_closed_connections() == n);
     }
 }
 
 #[test]
 fn connections_are_reused_and_closed_before_the_idle_timeout_of_servers() {
-    let server = StubServer::responding("kept");
+    let server = StubServer::responding_with("kept");
     let limiter = LimiterProcess::with_server(&server, |configuration| {
         configuration.replace(r#""DialTimeoutMs":250"#, r#""DialTimeoutMs":250,"IdleCloseMs":3000"#)
     });
     for _ in 0..5 {
         assert_eq!(limiter.request(&idempotent_request()).status, 200);
         // A connection rests for a moment before it is used again.
-        pause_ms(50);
+        sleep_ms(50);
     }
     assert_eq!(server.num_connections(), 1, "one connection carries requests one after another");
-    wait_for("the idle connection to be dropped", || server.num_closed() == 1);
+    wait_for("the idle connection to be dropped", || server.num_closed_connections() == 1);
     assert_eq!(limiter.request(&idempotent_request()).status, 200);
     assert_eq!(server.num_connections(), 2);
 }
@@ -52,7 +52,7 @@
     let server = StubServer::new(|request, stream| {
         let began = Instant::now();
         let mut is_open = write_ok(stream, &request.body);
-        pause_ms(1);
+        sleep_ms(1);
         // A copy that a busy machine holds up longer is another matter.
         if began.elapsed() < Duration::from_millis(3) {
             is_open = write_ok(stream, &request.body);
@@ -63,7 +63,7 @@
     let mut client = limiter.connect();
     for n in 0..50 {
         let body = format!("body {n}");
-        assert_eq!(exchange(&mut client, &request_with_key(&format!("k{n}"), &body)).body, body);
+        assert_eq!(send_and_receive(&mut client, &request_with_key(&format!("k{n}"), &body)).body, body);
     }
 }
 
@@ -71,14 +71,14 @@
 /// after its server has gone is not kept.
 #[test]
 fn a_new_server_does_not_inherit_connections() {
-    let InFlightRequest { servers, limiter, mut client } = InFlightRequest::at_slow_server();
+    let InFlightRequest { servers, limiter, mut client } = InFlightRequest::start_at_slow_server();
     let server = &servers[0];
     let change = [removed_at("s-1", server.addr), serving("s-2", server)];
     limiter.discovery.send(&list_change(2, &change));
-    limiter.wait_log("state=removed");
+    limiter.wait_until_logged("state=removed");
     assert_eq!(read_response(&mut client).status, 200);
-    pause_ms(50);
+    sleep_ms(50);
     assert_eq!(limiter.request(&idempotent_request()).status, 200);
     assert_eq!(server.num_connections(), 2);
-    wait_for("the old server's connection to be closed", || server.num_closed() == 1);
+    wait_for("the old server's connection to be closed", || server.num_closed_connections() == 1);
 }
--- a/limiter/tests/deadline_propagation.rs
+++ b/limiter/tests/deadline_propagation.rs
@@ -18,14 +18,15 @@
 fn slow_at_first() -> StubServer {
     StubServer::new(|request, stream: &mut TcpStream| {
         if request.correlation_id() == "first" {
-            pause_ms(1500);
+            sleep_ms(1500);
         }
         write_ok(stream, "fine")
     })
 }
 
 fn assert_told_at_most(server: &StubServer, id: &str, most_s: f64) {
-    let told = server.received().iter().find(|request| request.correlation_id() == id).map(time_left_s);
+    let told =
+        server.received_requests().iter().find(|request| request.correlation_id() == id).map(time_left_s);
     let told = told.expect("the request came to the server");
     assert!(told <= most_s + SLACK_S, "the server was told {told} s, its client has {most_s} s left");
 }
@@ -34,7 +35,7 @@
 #[test]
 fn the_deadline_of_a_pipelined_request_counts_from_its_arrival() {
     let server = slow_at_first();
-    let limiter = LimiterProcess::with_server(&server, Configuration::without_latency_objective);
+    let limiter = LimiterProcess::with_server(&server, Configuration::with_long_latency_objective);
     let second = idempotent_request_with_id("second").replace("Left: 3.0", "Left: 2.0");
     let mut client = limiter.send(&(idempotent_request_with_id("first") + &second));
     assert_eq!(read_response(&mut client).status, 200);
@@ -46,12 +47,12 @@
 #[test]
 fn the_deadline_of_a_request_that_was_read_ahead_counts_from_its_arrival() {
     let server = slow_at_first();
-    let limiter = LimiterProcess::with_server(&server, Configuration::without_latency_objective);
+    let limiter = LimiterProcess::with_server(&server, Configuration::with_long_latency_objective);
     let mut client = limiter.send(&idempotent_request_with_id("first"));
     wait_for("the first request", || server.num_received() == 1);
     let second = idempotent_request_with_id("second").replace("Left: 3.0", "Left: 2.0");
     client.write_all(second.as_bytes()).expect("write");
-    pause_ms(1500);
+    sleep_ms(1500);
     assert_eq!(read_response(&mut client).status, 200);
     assert_eq!(read_response(&mut client).status, 200);
     assert_told_at_most(&server, "second", 0.6);
@@ -61,7 +62,7 @@
 #[test]
 fn a_request_that_expired_while_waiting_is_not_forwarded() {
     let server = slow_at_first();
-    let limiter = LimiterProcess::with_server(&server, Configuration::without_latency_objective);
+    let limiter = LimiterProcess::with_server(&server, Configuration::with_long_latency_objective);
     let second = idempotent_request_with_id("second").replace("Left: 3.0", "Left: 1.0");
     let mut client = limiter.send(&(idempotent_request_with_id("first") + &second));
     assert_eq!(read_response(&mut client).status, 200);
@@ -73,13 +74,13 @@
 #[test]
 fn the_deadline_of_a_request_that_arrived_during_a_stall_counts_from_before_the_stall() {
     let server = slow_at_first();
-    let limiter = LimiterProcess::with_server(&server, Configuration::without_latency_objective);
+    let limiter = LimiterProcess::with_server(&server, Configuration::with_long_latency_objective);
     let mut client = limiter.connect();
-    assert_eq!(exchange(&mut client, &idempotent_request_with_id("warm-up")).status, 200);
+    assert_eq!(send_and_receive(&mut client, &idempotent_request_with_id("warm-up")).status, 200);
     limiter.signal("STOP");
     let waiting = idempotent_request_with_id("waiting").replace("Left: 3.0", "Left: 2.0");
     client.write_all(waiting.as_bytes()).expect("write");
-    pause_ms(1000);
+    sleep_ms(1000);
     limiter.signal("CONT");
     assert_eq!(read_response(&mut client).status, 200);
     assert_told_at_most(&server, "waiting", 1.0);
--- a/limiter/tests/http_front_end.rs
+++ b/limiter/tests/http_front_end.rs
@@ -13,11 +13,11 @@
 #[test]
 fn request_and_response_bodies_are_forwarded_unchanged() {
     let body: String = ('a'..='z').cycle().take(50_000).collect();
-    let server = StubServer::responding(&body);
+    let server = StubServer::responding_with(&body);
     let limiter = LimiterProcess::in_front_of(&server);
     let response = limiter.request(&request_with_key_and_headers("k1", "X-Ignored: 1\r\n", "hello"));
     assert_eq!((response.status, response.body.as_str()), (200, body.as_str()));
-    let received = server.received();
+    let received = server.received_requests();
     assert_eq!(received.len(), 1);
     let request = &received[0];
     assert!(request.head.starts_with("POST /book/00000000b4d65521?x=1 HTTP/1.1\r\n"), "{}", request.head);
@@ -37,7 +37,7 @@
 /// Guards against bad input reaching the decisions or a server, or ending the program.
 #[test]
 fn invalid_requests_are_rejected_immediately_and_not_forwarded() {
-    let server = StubServer::responding("fine");
+    let server = StubServer::responding_with("fine");
     let limiter = LimiterProcess::in_front_of(&server);
     let good = idempotent_request();
     let without = |name: &str| without_header(&good, name);
@@ -76,7 +76,7 @@
 /// request behind the first. All of these are rejected, and nothing behind them is read.
 #[test]
 fn ambiguous_framing_is_rejected_and_the_connection_closed() {
-    let server = StubServer::responding("fine");
+    let server = StubServer::responding_with("fine");
     let limiter = LimiterProcess::in_front_of(&server);
     let hidden = idempotent_request_with_id("c-hidden");
     let (chunked, length) = ("Transfer-Encoding: chunked\r\n", "Content-Length: 5\r\n");
@@ -96,17 +96,17 @@
         let began = Instant::now();
         // The rejection may close the connection before all of it is written.
         let _ = client.write_all(format!("{head}0\r\n\r\n{hidden}").as_bytes());
-        let text = read_until_closed(&mut client, began).text;
+        let text = read_until_closed(&mut client, began).received_text;
         assert!(text.is_empty() || text.starts_with("HTTP/1.1 4"), "{framing}: {text}");
         assert!(!text.contains("200 OK"), "{framing}: {text}");
     }
-    assert!(server.received().is_empty(), "{:?}", server.num_received());
+    assert!(server.received_requests().is_empty(), "{:?}", server.num_received());
 }
 
 /// Two requests with one id could not be told apart at the servers: the second is rejected while the first is open.
 #[test]
 fn the_correlation_id_of_a_pending_request_is_rejected() {
-    let InFlightRequest { servers, limiter, client: mut first } = InFlightRequest::at_slow_server();
+    let InFlightRequest { servers, limiter, client: mut first } = InFlightRequest::start_at_slow_server();
     let of_other_customer = idempotent_request().replace(DEFAULT_CUSTOMER, "00000000b4d65522");
     assert_eq!(limiter.request(&of_other_customer).status, 409);
     assert_eq!(read_response(&mut first).status, 200);
@@ -118,7 +118,7 @@
 #[test]
 fn pipelined_requests_are_answered_in_order() {
     let server = StubServer::echoing();
-    let (limiter, mut client) = start_with_waiting_request();
+    let (limiter, mut client) = start_with_queued_request();
     for n in 0..20 {
         let request = request_with_key(&format!("k{n}"), &format!("body {n}"));
         client.write_all(request.as_bytes()).expect("write");
@@ -134,10 +134,10 @@
 /// close within 3 s of its first byte. One that has been answered may stay.
 #[test]
 fn connections_without_a_complete_request_time_out() {
-    let server = StubServer::responding("fine");
+    let server = StubServer::responding_with("fine");
     let limiter = LimiterProcess::in_front_of(&server);
     let mut keep_alive = limiter.connect();
-    assert_eq!(exchange(&mut keep_alive, &idempotent_request()).status, 200);
+    assert_eq!(send_and_receive(&mut keep_alive, &idempotent_request()).status, 200);
     let half_body = request_with_key("k", "hello").replace("hello", "he");
     let half_behind_a_good_one = idempotent_request() + "GET /look/00";
     let parts = [String::new(), "GET /look/00".to_string(), half_body, half_behind_a_good_one];
@@ -156,20 +156,25 @@
     let began = Instant::now();
     while trickling.write_all(b"x").is_ok() {
         assert!(began.elapsed() < Duration::from_secs(6), "trickled bytes must not extend the time");
-        pause_ms(100);
+        sleep_ms(100);
     }
     for ((client, began), part) in incomplete.iter_mut().zip(&parts) {
-        let ClosedConnection { text, elapsed } = read_until_closed(client, *began);
-        assert!(elapsed < Duration::from_secs(6), "{part:?}: {text:?} after {elapsed:?}");
+        let ClosedConnection { received_text, elapsed } = read_until_closed(client, *began);
+        assert!(elapsed < Duration::from_secs(6), "{part:?}: {received_text:?} after {elapsed:?}");
     }
-    assert_eq!(exchange(&mut keep_alive, &idempotent_request()).status, 200, "an idle good one is kept");
+    assert_eq!(
+        send_and_receive(&mut keep_alive, &idempotent_request()).status,
+        200,
+        "an idle good one is kept"
+    );
 }
 
 /// Idle connections, half requests and garbage beyond the bound must not shut others out.
 #[test]
 fn idle_and_slow_clients_do_not_affect_other_clients() {
-    let server = StubServer::responding("fine");
-    let limiter = LimiterProcess::with_server(&server, |configuration| configuration.with_descriptors(100));
+    let server = StubServer::responding_with("fine");
+    let limiter =
+        LimiterProcess::with_server(&server, |configuration| configuration.with_max_descriptors(100));
     let mut held = Vec::new();
     for n in 0..120 {
         let mut client = limiter.connect();
@@ -185,10 +190,10 @@
 /// Fewer descriptors than the configuration promises: accepting fails, is tried again, and service goes on.
 #[test]
 fn service_resumes_after_descriptor_exhaustion() {
-    let server = StubServer::responding("fine");
-    let limiter = LimiterProcess::with_descriptor_limit(&server, 24);
+    let server = StubServer::responding_with("fine");
+    let limiter = LimiterProcess::with_os_descriptor_limit(&server, 24);
     let held: Vec<TcpStream> = (0..60).map(|_| limiter.connect()).collect();
-    limiter.wait_log("accept failed error=");
+    limiter.wait_until_logged("accept failed error=");
     drop(held);
     wait_for("service", || limiter.request(&idempotent_request()).status == 200);
 }
@@ -207,9 +212,9 @@
             let (began, mut is_complete) = (Instant::now(), true);
             for (n, byte) in request.bytes().enumerate() {
                 is_complete &= client.write_all(&[byte]).is_ok();
-                pause_ms(2);
+                sleep_ms(2);
                 if n % 40 == 20 {
-                    let beside = exchange(&mut neighbour, &request_with_key("beside", "beside"));
+                    let beside = send_and_receive(&mut neighbour, &request_with_key("beside", "beside"));
                     assert_eq!(beside.body, "beside");
                 }
             }
@@ -232,11 +237,11 @@
     let server = StubServer::new(move |_, stream| {
         if is_first.swap(false, Ordering::SeqCst) {
             // All that was sent has been read by then.
-            pause_ms(500);
+            sleep_ms(500);
         }
         write_ok(stream, "fine")
     });
-    let limiter = LimiterProcess::with_server(&server, without_latency_limits);
+    let limiter = LimiterProcess::with_server(&server, allow_long_pending_requests);
     let requests: String = (0..REQUESTS).map(|n| request_with_long_timeout(&format!("c-{n}"))).collect();
     assert!(requests.len() > 64 << 10, "{} bytes", requests.len());
     let mut client = limiter.send(&requests);
--- a/limiter/tests/malformed_responses.rs
+++ b/limiter/tests/malformed_responses.rs
@@ -24,7 +24,7 @@
 
 /// The attempts of the request with the body x.
 fn attempts_of_x(server: &StubServer) -> Vec<HttpMessage> {
-    let mut attempts = server.received();
+    let mut attempts = server.received_requests();
     attempts.retain(|request| request.body == "x");
     attempts
 }
@@ -33,15 +33,15 @@
 /// alone.
 fn status_of_only_response(limiter: &LimiterProcess, request: &str) -> u16 {
     let mut client = limiter.connect();
-    let status = exchange(&mut client, request).status;
-    let next = exchange(&mut client, &request_with_key("fine", "fine"));
+    let status = send_and_receive(&mut client, request).status;
+    let next = send_and_receive(&mut client, &request_with_key("fine", "fine"));
     assert_eq!((next.status, next.body.as_str()), (200, "fine"));
     status
 }
 
 /// All but the one that may be kept.
 fn wait_connections_closed(server: &StubServer) {
-    wait_for("the attempts to be closed", || server.num_closed() + 1 >= server.num_connections());
+    wait_for("the attempts to be closed", || server.num_closed_connections() + 1 >= server.num_connections());
 }
 
 /// How a server ends a connection.
@@ -59,7 +59,7 @@
         let server = StubServer::new(move |_, stream| {
             let _ = stream.write_all(text.as_bytes());
             // For the outcome it makes no difference: either way the response has broken off.
-            pause_ms(pause);
+            sleep_ms(pause);
             if end == End::Reset {
                 reset_on_close(stream);
             }
@@ -102,7 +102,7 @@
         });
         let limiter = LimiterProcess::in_front_of(&server);
         assert_eq!(limiter.request(&request_with_key("k", "x")).status, 502);
-        assert_retried_with_key(&server.received());
+        assert_retried_with_key(&server.received_requests());
     }
 }
 
@@ -115,7 +115,7 @@
         let server = StubServer::new(move |_, stream| {
             let (first, second) = text.split_at(text.len() - length / 2);
             let _ = stream.write_all(first.as_bytes());
-            pause_ms(20);
+            sleep_ms(20);
             let _ = stream.write_all(second.as_bytes());
             false
         });
@@ -136,7 +136,7 @@
         }
         let _ = stream.write_all(CHUNKED.as_bytes());
         while stream.write_all(b"4\r\nmore\r\n").is_ok() {
-            pause_ms(20);
+            sleep_ms(20);
         }
         false
     });
@@ -156,7 +156,7 @@
     let server = StubServer::new(move |request, stream| {
         write_ok(stream, &request.body);
         // Long enough for the connection to have gone back to the pool.
-        pause_ms(100);
+        sleep_ms(100);
         let is_open = stream.write_all(HALF_STATUS_LINE.as_bytes()).is_ok();
         written.fetch_add(1, SeqCst);
         is_open
@@ -205,7 +205,7 @@
         let limiter = LimiterProcess::in_front_of(&server);
         assert_eq!(status_of_only_response(&limiter, &request_with_key("k", "x")), 502, "{case}");
         assert_retried_with_key(&attempts_of_x(&server));
-        let memory_kb = limiter.max_memory_kb();
+        let memory_kb = limiter.peak_memory_kb();
         assert!(memory_kb < MAX_MEMORY_KB, "{memory_kb} kB, {case}");
         wait_connections_closed(&server);
     }
--- a/limiter/tests/quotas.rs
+++ b/limiter/tests/quotas.rs
@@ -11,7 +11,7 @@
 /// What is given up on is answered at once, and the response says when to retry.
 #[test]
 fn a_rejection_is_immediate_and_carries_retry_after() {
-    let server = StubServer::responding("fine");
+    let server = StubServer::responding_with("fine");
     let limiter = LimiterProcess::with_server(&server, |configuration| {
         configuration
             .replace(r#""MayTell":true"#, r#""MayTell":true,"RetryAfter":true"#)
@@ -22,14 +22,14 @@
     assert!(began.elapsed() < Duration::from_secs(1), "{:?} of 3 s", began.elapsed());
     assert_eq!(response.status, 429);
     assert_eq!(response.header("retry-after").as_deref(), Some("1.500"));
-    assert!(server.received().is_empty());
+    assert!(server.received_requests().is_empty());
 }
 
 /// Guards against figures that no plan has, in a usual customer's name: they must not touch its quota. The plan here
 /// has a burst of 4 units.
 #[test]
 fn invalid_header_values_do_not_change_the_quota_of_a_customer() {
-    let server = StubServer::responding("fine");
+    let server = StubServer::responding_with("fine");
     let limiter = LimiterProcess::with_server(&server, |configuration| {
         configuration.with_quota(r#""Rate":0.5,"StoreSize":4"#).with_max_cost_units(4)
     });
@@ -50,7 +50,7 @@
     ] {
         assert_eq!(limiter.request(&request).status, 400, "{request}");
     }
-    assert!(server.received().is_empty());
+    assert!(server.received_requests().is_empty());
     for n in 0..4 {
         assert_eq!(limiter.request(&good).status, 200, "unit {n} of the customer's 4");
     }
@@ -81,7 +81,7 @@
 /// most.
 #[test]
 fn gossip_is_attributed_to_peers_by_source_address() {
-    let server = StubServer::responding("fine");
+    let server = StubServer::responding_with("fine");
     let peer = UdpSocket::bind("127.0.0.1:0").expect("bind");
     peer.set_read_timeout(Some(Duration::from_secs(10))).expect("time-out");
     let own = UdpSocket::bind("127.0.0.1:0").expect("bind").local_addr().expect("address");
@@ -102,6 +102,6 @@
         assert_eq!(limiter.request(&request).status, 200, "the even share serves while an owner is silent");
     }
     let mut buffer = [0; 1024];
-    let (length, from) = uninterrupted(|| peer.recv_from(&mut buffer)).expect("a quota request");
+    let (length, from) = retry_on_interrupt(|| peer.recv_from(&mut buffer)).expect("a quota request");
     assert!(length <= 256 && from == own);
 }
--- a/limiter/tests/races.rs
+++ b/limiter/tests/races.rs
@@ -14,22 +14,22 @@
     alter: impl Fn(Configuration) -> Configuration,
 ) -> LimiterProcess {
     let limiter = LimiterProcess::with_endpoints(&[], |configuration| {
-        alter(without_latency_limits(configuration).with_connect_timeout_ms(LONG_CONNECT_TIMEOUT_MS))
+        alter(allow_long_pending_requests(configuration).with_connect_timeout_ms(LONG_CONNECT_TIMEOUT_MS))
     });
     limiter.discovery.send(&list_change(2, &[serving_at("s-1", server.addr)]));
-    limiter.wait_ready();
+    limiter.wait_until_ready();
     limiter
 }
 
 #[test]
 fn a_connection_established_after_a_drain_carries_no_request() {
     let server = ServerWithFullBacklog::new();
-    let other = StubServer::responding("other");
+    let other = StubServer::responding_with("other");
     let limiter = start_before(&server, |configuration| configuration);
-    let mut client = send_open_request(&limiter);
+    let mut client = send_and_wait_until_pending(&limiter);
     let changes = [draining_at("s-1", server.addr), serving("s-2", &other)];
     limiter.discovery.send(&list_change(3, &changes));
-    limiter.wait_log("state=draining");
+    limiter.wait_until_logged("state=draining");
     let late = server.accept_all();
     assert_eq!(read_response(&mut client).body, "other");
     late.wait_for_count(1);
@@ -56,7 +56,7 @@
     let mut limiter = start_before(&server, |configuration| {
         configuration.replace(r#""Cancelling":true"#, &format!("\"Cancelling\":{can_cancel}"))
     });
-    let client = send_open_request(&limiter);
+    let client = send_and_wait_until_pending(&limiter);
     drop(client);
     wait_until_disconnect_is_detected(&limiter);
     let late = server.accept_all();
@@ -64,7 +64,7 @@
     assert_eq!((next.status, next.body.as_str()), (200, "late"));
     late.wait_for_count(num_connections);
     limiter.signal("TERM");
-    assert_eq!(limiter.exit_code(), Some(0));
+    assert_eq!(limiter.wait_for_exit_code(), Some(0));
     assert_eq!(late.num_with_request(), 1, "the second one alone");
     assert_eq!(late.count(), num_connections, "no other has come up");
 }
@@ -76,12 +76,12 @@
     let (late_server, gate) = (ServerWithFullBacklog::new(), Gate::default());
     let breaks_off_at = gate.clone();
     let first_server = StubServer::new(move |_, _| {
-        breaks_off_at.wait();
+        breaks_off_at.wait_until_open();
         false
     });
     let limiter = LimiterProcess::with_server(&first_server, |configuration| {
         configuration
-            .without_latency_objective()
+            .with_long_latency_objective()
             .with_connect_timeout_ms(LONG_CONNECT_TIMEOUT_MS)
             .replace(r#""AimMs":2500"#, r#""AimMs":600000"#)
             .replace(r#""WindowMs":8000"#, r#""WindowMs":1000"#)
@@ -89,11 +89,11 @@
     let mut client = limiter.send(&request_with_key("k", "x").replace("Left: 3.0", "Left: 60"));
     wait_for("the first attempt", || first_server.num_received() == 1);
     limiter.discovery.send(&list_change(2, &[serving_at("s-2", late_server.addr)]));
-    limiter.wait_log("endpoint changed server=s-2 ");
+    limiter.wait_until_logged("endpoint changed server=s-2 ");
     gate.open();
-    wait_for("the first attempt to break off", || first_server.num_closed() == 1);
+    wait_for("the first attempt to break off", || first_server.num_closed_connections() == 1);
     // The window counts from before the first attempt was received.
-    pause_ms(1200);
+    sleep_ms(1200);
     let late = late_server.accept_all();
     assert_eq!(read_response(&mut client).status, 502);
     late.wait_for_count(1);
--- a/limiter/tests/shutdown_races.rs
+++ b/limiter/tests/shutdown_races.rs
@@ -14,8 +14,8 @@
 /// A process that takes requests after SIGTERM for as short as any, and its server. What it has taken it holds for as
 /// long as it may: else a machine that stalls for a second by itself has requests rejected.
 fn start() -> (StubServer, LimiterProcess) {
-    let server = StubServer::responding("fine");
-    let limiter = LimiterProcess::with_server(&server, Configuration::without_latency_objective);
+    let server = StubServer::responding_with("fine");
+    let limiter = LimiterProcess::with_server(&server, Configuration::with_long_latency_objective);
     (server, limiter)
 }
 
@@ -23,7 +23,7 @@
 fn stall<T>(limiter: &LimiterProcess, meanwhile: impl FnOnce() -> T) -> T {
     limiter.signal("STOP");
     let result = meanwhile();
-    pause_ms(STALL_MS);
+    sleep_ms(STALL_MS);
     limiter.signal("CONT");
     result
 }
@@ -31,7 +31,7 @@
 /// A keep-alive connection that has been used.
 fn kept_connection(limiter: &LimiterProcess, id: &str) -> TcpStream {
     let mut client = limiter.connect();
-    assert_eq!(exchange(&mut client, &request_with_long_timeout(id)).status, 200);
+    assert_eq!(send_and_receive(&mut client, &request_with_long_timeout(id)).status, 200);
     client
 }
 
@@ -57,7 +57,7 @@
 /// fault, and so is a connection that stays open and says nothing.
 fn response_head(client: &mut TcpStream) -> Option<String> {
     client.set_read_timeout(Some(WAIT_TIMEOUT)).expect("time-out");
-    match uninterrupted(|| client.peek(&mut [0])) {
+    match retry_on_interrupt(|| client.peek(&mut [0])) {
         Ok(length) if length > 0 => Some(read_response(client).head),
         Err(error) if matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {
             panic!("silence")
@@ -82,7 +82,7 @@
         let mut resting = kept_connection(&limiter, "first");
         let mut silent = limiter.connect();
         limiter.signal("TERM");
-        limiter.wait_log("shutdown started");
+        limiter.wait_until_logged("shutdown started");
         let new = stall(&limiter, || {
             is_open(&resting).then(|| {
                 write_request(&mut resting, "resting").expect("write");
@@ -96,7 +96,7 @@
         assert_eq!(usize::from(is_served(&mut resting)), server.num_received_with_id("resting"));
         let num_received = (server.num_received_with_id("new"), server.num_received_with_id("silent"));
         assert_eq!(num_received, (1, 1));
-        assert_eq!(limiter.exit_code(), Some(0));
+        assert_eq!(limiter.wait_for_exit_code(), Some(0));
     }
 }
 
@@ -107,7 +107,7 @@
     let (server, mut limiter) = start();
     let resting = kept_connection(&limiter, "first");
     limiter.signal("TERM");
-    limiter.wait_log("shutdown started");
+    limiter.wait_until_logged("shutdown started");
     let ids: Vec<String> = (0..120).map(|n| format!("q-{n}")).collect();
     let mut waiting: Vec<TcpStream> = stall(&limiter, || {
         let sent =
@@ -125,7 +125,7 @@
             assert!(head.starts_with("HTTP/1.1 429"), "{id}: {head}");
         }
     }
-    assert_eq!(limiter.exit_code(), Some(0));
+    assert_eq!(limiter.wait_for_exit_code(), Some(0));
 }
 
 /// Clients rest until their connections end, write a request in that moment, and send it once more on a new
@@ -153,7 +153,7 @@
         let num_served = usize::from(client.is_some_and(|mut client| is_served(&mut client)));
         assert_eq!((num_served, server.num_received_with_id(id)), (num_sent, num_sent), "{id}");
     }
-    assert_eq!(limiter.exit_code(), Some(0));
+    assert_eq!(limiter.wait_for_exit_code(), Some(0));
 }
 
 /// What came of the requests on one connection, until it ended.
@@ -192,7 +192,7 @@
         .collect();
     wait_for("traffic", || server.num_received() > 100);
     limiter.signal("TERM");
-    limiter.wait_log("shutdown started");
+    limiter.wait_until_logged("shutdown started");
     stall(&limiter, || ());
     for client in sending {
         let SentRequests { num_answered, unanswered } = client.join().expect("complete responses");
@@ -200,5 +200,5 @@
         let num_forwarded = unanswered.map_or(0, |id| server.num_received_with_id(&id));
         assert_eq!(num_forwarded, 0, "forwarded and not answered");
     }
-    assert_eq!(limiter.exit_code(), Some(0));
+    assert_eq!(limiter.wait_for_exit_code(), Some(0));
 }
--- a/limiter/tests/startup.rs
+++ b/limiter/tests/startup.rs
@@ -30,7 +30,7 @@
 /// A time that is longer than any clock counts is as good as none.
 #[test]
 fn extreme_times_in_the_settings_do_not_crash_the_process() {
-    let server = StubServer::responding("fine");
+    let server = StubServer::responding_with("fine");
     let limiter = LimiterProcess::with_server(&server, |configuration| {
         let bounds = r#""DialTimeoutMs":250"#;
         configuration.replace(bounds, r#""DialTimeoutMs":1e300,"IdleCloseMs":1e300"#)
@@ -41,11 +41,11 @@
 /// A limiter that was killed starts again under its address at once.
 #[test]
 fn a_killed_limiter_can_listen_on_its_address_again() {
-    let server = StubServer::responding("fine");
+    let server = StubServer::responding_with("fine");
     let first = LimiterProcess::in_front_of(&server);
     let addr = first.addr;
     let mut keep_alive = first.connect();
-    assert_eq!(exchange(&mut keep_alive, &idempotent_request()).status, 200);
+    assert_eq!(send_and_receive(&mut keep_alive, &idempotent_request()).status, 200);
     drop(first);
     let again = LimiterProcess::with_server(&server, |configuration| {
         configuration.replace(r#""listen":"127.0.0.1:0""#, &format!(r#""listen":"{addr}""#))
@@ -66,7 +66,7 @@
 
 /// Starts with an endpoint list of an earlier time, while discovery takes calls and says nothing.
 fn start_with_silent_discovery(alter: impl Fn(Configuration) -> Configuration) -> LimiterProcess {
-    LimiterProcess::with_discovery(StubDiscovery::unresponsive(), alter, DEFAULT_DESCRIPTORS)
+    LimiterProcess::with_discovery(StubDiscovery::unresponsive(), alter, DEFAULT_DESCRIPTOR_LIMIT)
 }
 
 /// With an old list, an empty one, one that names nothing that takes requests, one that cannot be read and none at
@@ -78,12 +78,12 @@
     let draining = complete_list(1, &[draining_at("s-1", gone)]);
     for mode in DISCOVERY_MODES {
         std::thread::scope(|scope| {
-            for known in [old.as_str(), NO_CONFIGURED_SERVERS, &draining, "{\"servers\":7}", "null"] {
+            for known in [old.as_str(), EMPTY_ENDPOINT_LIST, &draining, "{\"servers\":7}", "null"] {
                 scope.spawn(move || {
                     let limiter = start_with_silent_discovery(|configuration| {
-                        configuration.with_configured_servers(known).with_discovery_mode(mode)
+                        configuration.with_configured_endpoints(known).with_discovery_mode(mode)
                     });
-                    limiter.wait_ready();
+                    limiter.wait_until_ready();
                     assert_eq!(limiter.request(&idempotent_request()).status, 429, "{known}");
                 });
             }
@@ -96,9 +96,10 @@
 fn a_new_process_becomes_ready_while_discovery_is_down() {
     for mode in DISCOVERY_MODES {
         let alter = |configuration: Configuration| configuration.with_discovery_mode(mode);
-        let limiter = LimiterProcess::with_discovery(StubDiscovery::down(), alter, DEFAULT_DESCRIPTORS);
-        limiter.wait_ready();
-        limiter.wait_log("cannot connect");
+        let limiter =
+            LimiterProcess::with_discovery(StubDiscovery::unreachable(), alter, DEFAULT_DESCRIPTOR_LIMIT);
+        limiter.wait_until_ready();
+        limiter.wait_until_logged("cannot connect");
     }
 }
 
@@ -106,15 +107,15 @@
 /// start may be old: a request that comes before discovery has answered waits for it.
 #[test]
 fn nothing_is_forwarded_with_a_stale_list_before_discovery_has_answered() {
-    let (one, two) = (StubServer::responding("one"), StubServer::responding("two"));
+    let (one, two) = (StubServer::responding_with("one"), StubServer::responding_with("two"));
     let known = complete_list(1, &[serving("s-1", &one)]);
     // On a machine so slow that discovery has had its chance before it answers, it is done once more.
     for _ in 0..10 {
         let limiter = start_with_silent_discovery(|configuration| {
-            configuration.without_latency_objective().with_configured_servers(&known)
+            configuration.with_long_latency_objective().with_configured_endpoints(&known)
         });
         let mut client = limiter.send(&idempotent_request());
-        wait_for("the call", || limiter.discovery.num_calls() > 0);
+        wait_for("the call", || limiter.discovery.num_watch_requests() > 0);
         let change = [draining_at("s-1", one.addr), serving("s-2", &two)];
         limiter.discovery.resume_with(&list_change(2, &change));
         let response = read_response(&mut client);
@@ -122,7 +123,7 @@
             continue;
         }
         assert_eq!((response.status, response.body.as_str()), (200, "two"));
-        assert!(one.received().is_empty(), "{} forwarded by the old list", one.num_received());
+        assert!(one.received_requests().is_empty(), "{} forwarded by the old list", one.num_received());
         return;
     }
     panic!("the list of the start counted before discovery could answer");
@@ -131,10 +132,11 @@
 /// A discovery that says nothing at all costs a start little: then the list that was given counts.
 #[test]
 fn the_configured_list_is_used_while_discovery_is_silent() {
-    let one = StubServer::responding("one");
+    let one = StubServer::responding_with("one");
     let known = complete_list(1, &[serving("s-1", &one)]);
-    let limiter = start_with_silent_discovery(|configuration| configuration.with_configured_servers(&known));
-    limiter.wait_ready();
+    let limiter =
+        start_with_silent_discovery(|configuration| configuration.with_configured_endpoints(&known));
+    limiter.wait_until_ready();
     assert_eq!(limiter.request(&idempotent_request()).body, "one");
 }
 
@@ -142,7 +144,7 @@
 /// too. It asks the other one before it takes clients.
 #[test]
 fn a_new_process_polls_its_peers_for_tombstones_while_discovery_is_silent() {
-    let (one, two) = (StubServer::responding("one"), StubServer::responding("two"));
+    let (one, two) = (StubServer::responding_with("one"), StubServer::responding_with("two"));
     let list = complete_list(1, &[serving("s-1", &one), serving("s-2", &two)]);
     let addresses: Vec<SocketAddr> = unused_udp_addresses(2);
     let discovery = StubDiscovery::new(list.clone());
@@ -150,21 +152,21 @@
         discovery,
         |configuration| {
             let positioned = configuration.with_peers(&addresses);
-            positioned.replace(&own_address(addresses[0]), &own_address(addresses[1])).at_position(1)
+            positioned.replace(&own_address(addresses[0]), &own_address(addresses[1])).with_position(1)
         },
-        DEFAULT_DESCRIPTORS,
+        DEFAULT_DESCRIPTOR_LIMIT,
     );
-    peer.wait_ready();
+    peer.wait_until_ready();
     peer.discovery.send(&list_change(2, &[draining_at("s-1", one.addr)]));
-    peer.wait_log("state=draining");
+    peer.wait_until_logged("state=draining");
     let limiter = start_with_silent_discovery(|configuration| {
-        configuration.without_latency_objective().with_configured_servers(&list).with_peers(&addresses)
+        configuration.with_long_latency_objective().with_configured_endpoints(&list).with_peers(&addresses)
     });
-    limiter.wait_ready();
+    limiter.wait_until_ready();
     for n in 0..20 {
         assert_eq!(limiter.request(&request_with_long_timeout(&format!("c-{n}"))).body, "two");
     }
-    assert!(one.received().is_empty(), "{} forwarded to a server that drains", one.num_received());
+    assert!(one.received_requests().is_empty(), "{} forwarded to a server that drains", one.num_received());
 }
 
 /// As many descriptors as the smallest configuration promises. Servers hang with an attempt on every connection that
@@ -178,14 +180,14 @@
         wait_for("the end", || stream.peek(&mut [0]).is_ok_and(|length| length == 0));
         false
     });
-    let good_server = StubServer::responding("fine");
+    let good_server = StubServer::responding_with("fine");
     let known = complete_list(1, &[serving("s-1", &hanging_server)]);
     let alter = |configuration: Configuration| {
-        let configuration = configuration.without_latency_objective();
-        configuration.with_descriptors(DESCRIPTORS).with_configured_servers(&known)
+        let configuration = configuration.with_long_latency_objective();
+        configuration.with_max_descriptors(DESCRIPTORS).with_configured_endpoints(&known)
     };
     let limiter = LimiterProcess::with_discovery(StubDiscovery::unresponsive(), alter, DESCRIPTORS);
-    limiter.wait_log("using configured endpoint list");
+    limiter.wait_until_logged("using configured endpoint list");
     let hanging: Vec<TcpStream> =
         (0..30).map(|n| limiter.send(&request_with_long_timeout(&format!("c-{n}")))).collect();
     wait_for("attempts on all connections", || hanging_server.num_received() >= 16);
@@ -197,14 +199,14 @@
         while !crowd_is_over.is_open() {
             idle.extend(TcpStream::connect(addr));
             idle.drain(..idle.len().saturating_sub(200));
-            pause_ms(1);
+            sleep_ms(1);
         }
     });
-    let num_calls = limiter.discovery.num_calls();
-    wait_for("more calls", || limiter.discovery.num_calls() > num_calls + 5);
+    let num_calls = limiter.discovery.num_watch_requests();
+    wait_for("more calls", || limiter.discovery.num_watch_requests() > num_calls + 5);
     let change = [draining_at("s-1", hanging_server.addr), serving("s-2", &good_server)];
     limiter.discovery.resume_with(&list_change(2, &change));
-    limiter.wait_log("endpoint changed server=s-2 ");
+    limiter.wait_until_logged("endpoint changed server=s-2 ");
     assert!(!limiter.has_logged("open files"), "no call or attempt lacks a descriptor");
     drop(hanging);
     is_over.open();
--- a/limiter/tests/stubs/client.rs
+++ b/limiter/tests/stubs/client.rs
@@ -4,7 +4,7 @@
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
 
-use super::{read_message, uninterrupted, HttpMessage, WAIT_TIMEOUT};
+use super::{read_message, retry_on_interrupt, HttpMessage, WAIT_TIMEOUT};
 
 pub const READINESS_REQUEST: &str = "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n";
 
@@ -52,14 +52,14 @@
     read_message(stream).expect("a complete response")
 }
 
-pub fn exchange(stream: &mut TcpStream, request: &str) -> HttpMessage {
+pub fn send_and_receive(stream: &mut TcpStream, request: &str) -> HttpMessage {
     stream.write_all(request.as_bytes()).expect("write");
     read_response(stream)
 }
 
 /// All that came on a connection until the other side closed or reset it.
 pub struct ClosedConnection {
-    pub text: String,
+    pub received_text: String,
     pub elapsed: Duration,
 }
 
@@ -68,11 +68,14 @@
     stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("time-out");
     let (mut received, mut buffer) = (Vec::new(), [0; 4096]);
     loop {
-        match uninterrupted(|| stream.read(&mut buffer)) {
+        match retry_on_interrupt(|| stream.read(&mut buffer)) {
             Ok(length) if length > 0 => received.extend_from_slice(&buffer[..length]),
             Err(error) if error.kind() == ErrorKind::WouldBlock => panic!("not closed in {WAIT_TIMEOUT:?}"),
             _ => break,
         }
     }
-    ClosedConnection { text: String::from_utf8_lossy(&received).into_owned(), elapsed: began.elapsed() }
+    ClosedConnection {
+        received_text: String::from_utf8_lossy(&received).into_owned(),
+        elapsed: began.elapsed(),
+    }
 }
--- a/limiter/tests/stubs/configuration.rs
+++ b/limiter/tests/stubs/configuration.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 /// The endpoint list that the configuration gives the program for its start.
-pub const NO_CONFIGURED_SERVERS: &str = r#"{"version":1,"full":true,"servers":[]}"#;
+pub const EMPTY_ENDPOINT_LIST: &str = r#"{"version":1,"full":true,"servers":[]}"#;
 
 const CONFIGURATION: &str = r#"{"name":"n0","listen":"127.0.0.1:0","discovery":"DISCOVERY","seed":"8c1f30d27a5be964",
 "limits":{"cores":1.0,"memory_mb":192,"sockets":1024},"known":{"version":1,"full":true,"servers":[]},
@@ -44,7 +44,7 @@
     }
 
     /// The program may hold idempotent requests for as long as their clients wait.
-    pub fn without_latency_objective(self) -> Configuration {
+    pub fn with_long_latency_objective(self) -> Configuration {
         self.with_latency_objective_ms(600_000)
     }
 
@@ -78,7 +78,7 @@
         self.replace(r#""DialTimeoutMs":250"#, &format!("\"DialTimeoutMs\":{ms}"))
     }
 
-    pub fn with_limiters(self, limiters: u32) -> Configuration {
+    pub fn with_num_limiters(self, limiters: u32) -> Configuration {
         self.replace(r#""Balancers":1"#, &format!("\"Balancers\":{limiters}"))
     }
 
@@ -88,22 +88,22 @@
         let (own, all) = (&quoted[0], quoted.join(","));
         // An unknown key is ignored; it takes the brace that ends the limits.
         let peers = format!(r#""sockets":1024}},"peer_listen":{own},"peers":[{all}],"unread":{{"x":1"#);
-        self.replace(r#""sockets":1024"#, &peers).with_limiters(addresses.len() as u32)
+        self.replace(r#""sockets":1024"#, &peers).with_num_limiters(addresses.len() as u32)
     }
 
     /// The number of the program among the limiters.
-    pub fn at_position(self, position: u32) -> Configuration {
+    pub fn with_position(self, position: u32) -> Configuration {
         self.replace(r#""Position":0"#, &format!("\"Position\":{position}"))
     }
 
     /// The descriptors that the program may use.
-    pub fn with_descriptors(self, descriptors: u32) -> Configuration {
+    pub fn with_max_descriptors(self, descriptors: u32) -> Configuration {
         self.replace(r#""sockets":1024"#, &format!("\"sockets\":{descriptors}"))
     }
 
     /// An endpoint list for the start, which may be old.
-    pub fn with_configured_servers(self, list: &str) -> Configuration {
-        self.replace(NO_CONFIGURED_SERVERS, list.trim_end())
+    pub fn with_configured_endpoints(self, list: &str) -> Configuration {
+        self.replace(EMPTY_ENDPOINT_LIST, list.trim_end())
     }
 
     pub fn with_discovery_mode(self, mode: &str) -> Configuration {
--- a/limiter/tests/stubs/discovery.rs
+++ b/limiter/tests/stubs/discovery.rs
@@ -6,7 +6,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use super::{lock, pause_ms, read_message, wait_for, HttpMessage, StubServer};
+use super::{lock, read_message, sleep_ms, wait_for, HttpMessage, StubServer};
 
 /// What a watch sends while there is nothing to say.
 pub const HEARTBEAT: &str = "\n";
@@ -119,7 +119,7 @@
 
     fn send_heartbeats(&self) {
         loop {
-            pause_ms(HEARTBEAT_INTERVAL_MS);
+            sleep_ms(HEARTBEAT_INTERVAL_MS);
             if !self.heartbeats_stopped.load(Ordering::SeqCst) {
                 lock(&self.watches).iter_mut().for_each(|watch| write_chunk(watch, HEARTBEAT));
             }
@@ -140,11 +140,11 @@
 impl StubDiscovery {
     /// New watches begin with this text.
     pub fn new(first_message: String) -> StubDiscovery {
-        StubDiscovery::slow(first_message, 0)
+        StubDiscovery::with_response_delay_ms(first_message, 0)
     }
 
     /// The same, with calls that are answered late.
-    pub fn slow(first_message: String, response_delay_ms: u64) -> StubDiscovery {
+    pub fn with_response_delay_ms(first_message: String, response_delay_ms: u64) -> StubDiscovery {
         let listener = TcpListener::bind("127.0.0.1:0").expect("bind");
         let addr = listener.local_addr().expect("address");
         let response_delay = Duration::from_millis(response_delay_ms);
@@ -157,14 +157,14 @@
     }
 
     /// The same, with calls at first that are closed late in place of an answer.
-    pub fn failing_late(first_message: String, delay_ms: u64, num_failures: usize) -> StubDiscovery {
-        let discovery = StubDiscovery::slow(first_message, delay_ms);
+    pub fn with_slow_failures(first_message: String, delay_ms: u64, num_failures: usize) -> StubDiscovery {
+        let discovery = StubDiscovery::with_response_delay_ms(first_message, delay_ms);
         discovery.state.num_failures.store(num_failures, Ordering::SeqCst);
         discovery
     }
 
     /// An address where nothing listens.
-    pub fn down() -> StubDiscovery {
+    pub fn unreachable() -> StubDiscovery {
         StubDiscovery { addr: SocketAddr::from(([127, 0, 0, 1], 1)), state: Arc::default() }
     }
 
@@ -177,7 +177,7 @@
 
     /// Sends a text on the newest watch.
     pub fn send(&self, text: &str) {
-        wait_for("a watch", || !self.watch_requests().is_empty());
+        wait_for("a watch", || !self.watch_request_heads().is_empty());
         *lock(&self.state.first_message) = None;
         if let Some(watch) = lock(&self.state.watches).last_mut() {
             // A heartbeat would end a half line: it is held back from now on.
@@ -188,16 +188,16 @@
     }
 
     /// The heads of the watches that have begun.
-    pub fn watch_requests(&self) -> Vec<String> {
+    pub fn watch_request_heads(&self) -> Vec<String> {
         lock(&self.state.watch_requests).clone()
     }
 
-    pub fn num_watches(&self) -> usize {
+    pub fn num_opened_watches(&self) -> usize {
         lock(&self.state.watch_requests).len()
     }
 
     /// Calls so far, answered or not.
-    pub fn num_calls(&self) -> usize {
+    pub fn num_watch_requests(&self) -> usize {
         self.state.num_calls.load(Ordering::SeqCst)
     }
 
@@ -221,7 +221,7 @@
     }
 
     /// Ends all watches.
-    pub fn end_watches(&self) {
+    pub fn close_watches(&self) {
         *lock(&self.state.first_message) = None;
         for watch in lock(&self.state.watches).drain(..) {
             let _ = watch.shutdown(Shutdown::Both);
--- a/limiter/tests/stubs/gate.rs
+++ b/limiter/tests/stubs/gate.rs
@@ -19,7 +19,7 @@
         self.0.load(Ordering::SeqCst)
     }
 
-    pub fn wait(&self) {
+    pub fn wait_until_open(&self) {
         wait_for("the gate", || self.is_open());
     }
 }
--- a/limiter/tests/stubs/http.rs
+++ b/limiter/tests/stubs/http.rs
@@ -3,7 +3,7 @@
 use std::io::{Error, ErrorKind, Read, Result, Write};
 use std::net::TcpStream;
 
-use super::uninterrupted;
+use super::retry_on_interrupt;
 
 /// A request or response as it came.
 #[derive(Clone, Debug, Default)]
@@ -32,7 +32,7 @@
     let mut head = Vec::new();
     let mut byte = [0];
     while !head.ends_with(b"\r\n\r\n") {
-        if uninterrupted(|| stream.read(&mut byte))? == 0 {
+        if retry_on_interrupt(|| stream.read(&mut byte))? == 0 {
             return Err(broken_off(&head));
         }
         head.push(byte[0]);
--- a/limiter/tests/stubs/in_flight_request.rs
+++ b/limiter/tests/stubs/in_flight_request.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use super::{
-    idempotent_request, pause_ms, serving, wait_for, write_ok, Configuration, Endpoint, HttpMessage,
+    idempotent_request, serving, sleep_ms, wait_for, write_ok, Configuration, Endpoint, HttpMessage,
     LimiterProcess, StubServer,
 };
 
@@ -38,9 +38,9 @@
     }
 
     /// One server that responds after 0.3 s, and the idempotent request that it has.
-    pub fn at_slow_server() -> InFlightRequest {
+    pub fn start_at_slow_server() -> InFlightRequest {
         let respond = |_: &HttpMessage, stream: &mut TcpStream| {
-            pause_ms(300);
+            sleep_ms(300);
             write_ok(stream, "fine")
         };
         InFlightRequest::start(1, respond, &idempotent_request(), |configuration| configuration)
--- a/limiter/tests/stubs/limiter_process.rs
+++ b/limiter/tests/stubs/limiter_process.rs
@@ -8,15 +8,15 @@
 use std::sync::{Arc, Mutex};
 
 use super::{
-    complete_list, exchange, lock, serving, wait_for, Configuration, Endpoint, HttpMessage, StubDiscovery,
-    StubServer, READINESS_REQUEST,
+    complete_list, lock, send_and_receive, serving, wait_for, Configuration, Endpoint, HttpMessage,
+    StubDiscovery, StubServer, READINESS_REQUEST,
 };
 
 /// Descriptors that a process may have open, where the test sets no limit of its own.
-pub const DEFAULT_DESCRIPTORS: u32 = 1024;
+pub const DEFAULT_DESCRIPTOR_LIMIT: u32 = 1024;
 
 /// A line of the log that tells where the program listens, up to the address.
-pub const LISTENING_LOG: &str = "listening address=";
+pub const LISTENING_LOG_PREFIX: &str = "listening address=";
 
 /// The level of lines that tests show and do not look for.
 const DETAIL_LEVEL: &str = " DEBUG ";
@@ -78,7 +78,7 @@
         server: &StubServer,
         alter: impl Fn(Configuration) -> Configuration,
     ) -> LimiterProcess {
-        LimiterProcess::start(&[serving("s-1", server)], alter, DEFAULT_DESCRIPTORS)
+        LimiterProcess::start(&[serving("s-1", server)], alter, DEFAULT_DESCRIPTOR_LIMIT)
     }
 
     /// Starts with an empty endpoint list.
@@ -90,11 +90,11 @@
         endpoints: &[Endpoint],
         alter: impl Fn(Configuration) -> Configuration,
     ) -> LimiterProcess {
-        LimiterProcess::start(endpoints, alter, DEFAULT_DESCRIPTORS)
+        LimiterProcess::start(endpoints, alter, DEFAULT_DESCRIPTOR_LIMIT)
     }
 
     /// Starts with a limit on descriptors that the configuration does not tell, in front of one server.
-    pub fn with_descriptor_limit(server: &StubServer, descriptors: u32) -> LimiterProcess {
+    pub fn with_os_descriptor_limit(server: &StubServer, descriptors: u32) -> LimiterProcess {
         LimiterProcess::start(&[serving("s-1", server)], |configuration| configuration, descriptors)
     }
 
@@ -106,9 +106,9 @@
     ) -> LimiterProcess {
         let discovery = StubDiscovery::new(complete_list(1, endpoints));
         let limiter = LimiterProcess::with_discovery(discovery, alter, descriptors);
-        wait_for("the watch", || limiter.discovery.num_watches() > 0);
+        wait_for("the watch", || limiter.discovery.num_opened_watches() > 0);
         if !endpoints.is_empty() {
-            limiter.wait_ready();
+            limiter.wait_until_ready();
         }
         limiter
     }
@@ -158,7 +158,7 @@
     /// A start that must fail.
     pub fn fail_to_start(alter: impl Fn(Configuration) -> Configuration) -> FailedStart {
         let configuration = write_configuration(&alter(Configuration::with_discovery_at("127.0.0.1:1")));
-        let output = command(&configuration, DEFAULT_DESCRIPTORS).output().expect("the program starts");
+        let output = command(&configuration, DEFAULT_DESCRIPTOR_LIMIT).output().expect("the program starts");
         let _ = std::fs::remove_file(configuration);
         let stderr = String::from_utf8_lossy(&output.stderr).into_owned();
         FailedStart { exit_code: output.status.code(), stderr }
@@ -195,7 +195,7 @@
 
     /// The response to a request on a new connection.
     pub fn request(&self, request: &str) -> HttpMessage {
-        exchange(&mut self.connect(), request)
+        send_and_receive(&mut self.connect(), request)
     }
 
     pub fn is_ready(&self) -> bool {
@@ -206,7 +206,7 @@
         }
     }
 
-    pub fn wait_ready(&self) {
+    pub fn wait_until_ready(&self) {
         wait_for("readiness", || self.is_ready());
     }
 
@@ -215,7 +215,7 @@
         lock(&self.log).lines().any(|line| !line.contains(DETAIL_LEVEL) && line.contains(text))
     }
 
-    pub fn wait_log(&self, text: &str) {
+    pub fn wait_until_logged(&self, text: &str) {
         wait_for(text, || self.has_logged(text));
     }
 
@@ -224,13 +224,13 @@
     }
 
     /// Waits for the end of the program.
-    pub fn exit_code(&mut self) -> Option<i32> {
+    pub fn wait_for_exit_code(&mut self) -> Option<i32> {
         wait_for("the exit", || self.child.try_wait().expect("a child").is_some());
         self.child.wait().expect("a child").code()
     }
 
     /// The most memory that the program has used.
-    pub fn max_memory_kb(&self) -> u64 {
+    pub fn peak_memory_kb(&self) -> u64 {
         // The shell that set the limit on descriptors has become the program, under the same id.
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id()));
         let status = status.expect("the process has a status");
@@ -241,7 +241,7 @@
 
 /// Where the program listens, by its log.
 pub fn listening_address(log: &str) -> Option<&str> {
-    let (_, address) = log.lines().find_map(|line| line.split_once(LISTENING_LOG))?;
+    let (_, address) = log.lines().find_map(|line| line.split_once(LISTENING_LOG_PREFIX))?;
     Some(address.trim())
 }
 
--- a/limiter/tests/stubs/mod.rs
+++ b/limiter/tests/stubs/mod.rs
@@ -38,13 +38,13 @@
     let began = Instant::now();
     while !holds() {
         assert!(began.elapsed() < WAIT_TIMEOUT, "waited in vain for {what}");
-        pause_ms(10);
+        sleep_ms(10);
     }
 }
 
 /// Repeats a read for as long as it is interrupted: one with a time-out is, where the machine stops this process for a
 /// moment and lets it go on (signal(7)).
-pub fn uninterrupted<T>(mut read: impl FnMut() -> Result<T>) -> Result<T> {
+pub fn retry_on_interrupt<T>(mut read: impl FnMut() -> Result<T>) -> Result<T> {
     loop {
         match read() {
             Err(error) if error.kind() == ErrorKind::Interrupted => {}
@@ -53,7 +53,7 @@
     }
 }
 
-pub fn pause_ms(ms: u64) {
+pub fn sleep_ms(ms: u64) {
     std::thread::sleep(Duration::from_millis(ms));
 }
 
--- a/limiter/tests/stubs/quota_owner.rs
+++ b/limiter/tests/stubs/quota_owner.rs
@@ -4,10 +4,10 @@
 use std::ops::Range;
 use std::time::Duration;
 
-use super::{request_with_long_timeout, uninterrupted, LimiterProcess, StubServer, DEFAULT_CUSTOMER};
+use super::{request_with_long_timeout, retry_on_interrupt, LimiterProcess, StubServer, DEFAULT_CUSTOMER};
 
 /// A customer whose quota owners are the limiters 1, 2 and 3 of a fleet of four, asked in this order.
-pub const CUSTOMER_OF_OWNER: &str = "00000000b4d65522";
+pub const CUSTOMER_OF_STUB_OWNER: &str = "00000000b4d65522";
 
 /// Layout of a gossip message, as in `limiter-core/src/gossip/codec.rs`: a header, then lines, each begun by its kind.
 const HEADER_BYTES: usize = 8;
@@ -37,7 +37,7 @@
 
 /// Starts the program as a member of a fleet of four where only the quota owner that it asks first is there; the
 /// others are silent. `quota` is that of the plan of all requests.
-pub fn start_member(server: &StubServer, quota: &str) -> (LimiterProcess, StubQuotaOwner) {
+pub fn start_with_quota_owner(server: &StubServer, quota: &str) -> (LimiterProcess, StubQuotaOwner) {
     let sockets: Vec<UdpSocket> = (0..4).map(|_| UdpSocket::bind("127.0.0.1:0").expect("bind")).collect();
     let addresses: Vec<SocketAddr> =
         sockets.iter().map(|socket| socket.local_addr().expect("address")).collect();
@@ -46,7 +46,7 @@
     socket.set_read_timeout(Some(Duration::from_millis(500))).expect("time-out");
     let limiter = LimiterProcess::with_server(server, |configuration| {
         let configuration = configuration.with_peers(&addresses).with_quota(quota);
-        configuration.without_latency_objective().with_rejecting_plan()
+        configuration.with_long_latency_objective().with_rejecting_plan()
     });
     (limiter, StubQuotaOwner { socket, member: addresses[0] })
 }
@@ -60,7 +60,7 @@
     /// The next message, if one comes soon.
     pub fn receive(&self) -> Option<GossipMessage> {
         let mut buffer = [0; MAX_MESSAGE_BYTES];
-        let length = uninterrupted(|| self.socket.recv(&mut buffer)).ok()?;
+        let length = retry_on_interrupt(|| self.socket.recv(&mut buffer)).ok()?;
         (length > HEADER_BYTES).then(|| GossipMessage(buffer[..length].to_vec()))
     }
 
--- a/limiter/tests/stubs/server.rs
+++ b/limiter/tests/stubs/server.rs
@@ -5,7 +5,7 @@
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex};
 
-use super::{lock, pause_ms, read_message, wait_for, write_ok, HttpMessage};
+use super::{lock, read_message, sleep_ms, wait_for, write_ok, HttpMessage};
 
 #[derive(Default)]
 struct Record {
@@ -45,7 +45,7 @@
     }
 
     /// Answers each request with the same body.
-    pub fn responding(body: &str) -> StubServer {
+    pub fn responding_with(body: &str) -> StubServer {
         let body = body.to_string();
         StubServer::new(move |_, stream| write_ok(stream, &body))
     }
@@ -53,7 +53,7 @@
     /// Answers each request with the same body, after a time.
     pub fn responding_after_ms(ms: u64, body: &'static str) -> StubServer {
         StubServer::new(move |_, stream| {
-            pause_ms(ms);
+            sleep_ms(ms);
             write_ok(stream, body)
         })
     }
@@ -65,10 +65,10 @@
 
     /// Takes requests and says nothing.
     pub fn unresponsive() -> StubServer {
-        StubServer::new(|_, stream| read_to_end_silently(stream))
+        StubServer::new(|_, stream| ignore_until_closed(stream))
     }
 
-    pub fn received(&self) -> Vec<HttpMessage> {
+    pub fn received_requests(&self) -> Vec<HttpMessage> {
         lock(&self.record.received).clone()
     }
 
@@ -86,12 +86,12 @@
     }
 
     /// The most connections that were open at once.
-    pub fn max_open(&self) -> usize {
+    pub fn max_open_connections(&self) -> usize {
         self.record.max_open.load(Ordering::SeqCst)
     }
 
     /// Connections that have ended, by either side.
-    pub fn num_closed(&self) -> usize {
+    pub fn num_closed_connections(&self) -> usize {
         self.record.num_closed.load(Ordering::SeqCst)
     }
 
@@ -123,7 +123,7 @@
 }
 
 /// Says nothing until the client closes the connection; false, so that it ends here too.
-pub fn read_to_end_silently(stream: &mut TcpStream) -> bool {
+pub fn ignore_until_closed(stream: &mut TcpStream) -> bool {
     while stream.read(&mut [0; 64]).is_ok_and(|length| length > 0) {}
     false
 }
--- a/limiter/tests/system_calls.rs
+++ b/limiter/tests/system_calls.rs
@@ -20,7 +20,7 @@
     let servers = [StubServer::echoing(), StubServer::echoing()];
     let endpoints = [serving("s-1", &servers[0]), serving("s-2", &servers[1])];
     let discovery = StubDiscovery::new(complete_list(1, &endpoints));
-    let limiter = LimiterProcess::with_faults(discovery, |c| c, DEFAULT_DESCRIPTORS, faults);
+    let limiter = LimiterProcess::with_faults(discovery, |c| c, DEFAULT_DESCRIPTOR_LIMIT, faults);
     wait_for("readiness", || try_exchange(&limiter, READINESS_REQUEST).is_some_and(|r| r.status == 200));
     limiter
 }
@@ -98,7 +98,7 @@
 
 fn assert_stops(mut limiter: LimiterProcess) {
     limiter.signal("TERM");
-    assert_eq!(limiter.exit_code(), Some(0));
+    assert_eq!(limiter.wait_for_exit_code(), Some(0));
     assert!(!limiter.has_logged("panicked"));
 }
 
@@ -124,7 +124,7 @@
         limiter.reload(|configuration| configuration);
         assert!(try_exchange(&limiter, READINESS_REQUEST).is_some(), "the program has ended");
     }
-    limiter.wait_log("configuration reloaded, nothing changed");
+    limiter.wait_until_logged("configuration reloaded, nothing changed");
     assert_stops(limiter);
 }
 
