--- a/limiter/tests/stubs/client.rs
+++ b/limiter/tests/stubs/client.rs
@@ -1,4 +1,4 @@
-//! Requests as clients write them, and their connections.
+//! Requests as clients write them, and the client's side of a connection.
 
 use std::io::{ErrorKind, Read, Write};
 use std::net::TcpStream;
@@ -6,67 +6,93 @@
 
 use super::{read_message, retry_on_interrupt, HttpMessage, WAIT_TIMEOUT};
 
+/// A request for the limiter's readiness, answered with 200 or 503.
 pub const READINESS_REQUEST: &str = "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n";
 
-/// The id of a request that is given no other.
+/// The correlation id of a request for which the test chooses none.
 const DEFAULT_ID: &str = "c-1";
-/// The customer of a request that is given no other.
+/// The customer of a request for which the test chooses none.
 pub const DEFAULT_CUSTOMER: &str = "00000000b4d65521";
 
-/// A request with further headers, each with its line end.
+/// Returns a request of a class without a body. `headers` are added, each of them with its line end.
 pub fn request_of_class(class: &str, headers: &str) -> String {
     format!(
-        "GET /{class}/{DEFAULT_CUSTOMER}?x=1 HTTP/1.1\r\nHost: service.internal\r\nX-Correlation-Id: {DEFAULT_ID}\r\n\
-         X-Tariff: basic\r\nX-Time-Left: 3.0\r\nX-Weight: units=1,spread=1,first=0\r\n{headers}\r\n"
+        "GET /{class}/{DEFAULT_CUSTOMER}?x=1 HTTP/1.1\r\n\
+         Host: service.internal\r\n\
+         X-Correlation-Id: {DEFAULT_ID}\r\n\
+         X-Tariff: basic\r\n\
+         X-Time-Left: 3.0\r\n\
+         X-Weight: units=1,spread=1,first=0\r\n\
+         {headers}\r\n"
     )
 }
 
-/// A request that may be executed any number of times.
+/// Returns an idempotent request with the correlation id `c-1`. Its client waits 3 s.
 pub fn idempotent_request() -> String {
     request_of_class("look", "")
 }
 
-/// An idempotent request with an id of its own.
+/// Returns an idempotent request with this correlation id. Its client waits 3 s.
 pub fn idempotent_request_with_id(id: &str) -> String {
     idempotent_request().replace(DEFAULT_ID, id)
 }
 
-/// An idempotent request whose client waits for longer than any test takes.
+/// Returns an idempotent request whose client waits 60 s, which is longer than any test takes.
 pub fn request_with_long_timeout(id: &str) -> String {
     idempotent_request().replace("Left: 3.0", "Left: 60").replace(DEFAULT_ID, id)
 }
 
-/// A request with an idempotency key, from which its id follows.
+/// Returns a request with an idempotency key and a body. The correlation id is `c-` and the key.
 pub fn request_with_key(key: &str, body: &str) -> String {
     request_with_key_and_headers(key, "", body)
 }
 
+/// Returns a request with an idempotency key, a body and further headers, each of them with its line end. The
+/// correlation id is `c-` and the key.
 pub fn request_with_key_and_headers(key: &str, headers: &str, body: &str) -> String {
     let headers = format!("Idempotency-Key: {key}\r\nContent-Length: {}\r\n{headers}", body.len());
     let head = request_of_class("book", &headers).replacen("GET", "POST", 1);
     head.replace(DEFAULT_ID, &format!("c-{key}")) + body
 }
 
+/// Reads one response from a connection and returns when the response is complete.
+///
+/// # Panics
+///
+/// Panics if the connection is closed before the response is complete, or nothing is received for
+/// [`WAIT_TIMEOUT`].
 pub fn read_response(stream: &mut TcpStream) -> HttpMessage {
-    stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("time-out");
+    stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("a read timeout");
     read_message(stream).expect("a complete response")
 }
 
+/// Writes a request to a connection and returns its response.
+///
+/// # Panics
+///
+/// Panics if the request cannot be written, and as [`read_response`] does.
 pub fn send_and_receive(stream: &mut TcpStream, request: &str) -> HttpMessage {
-    stream.write_all(request.as_bytes()).expect("write");
+    stream.write_all(request.as_bytes()).expect("a written request");
     read_response(stream)
 }
 
-/// All that came on a connection until the other side closed or reset it.
+/// A connection that the limiter has closed or reset.
 pub struct ClosedConnection {
+    /// All bytes that were received before the connection ended.
     pub received_text: String,
+    /// Time from the start that the test named until the connection ended.
     pub elapsed: Duration,
 }
 
-/// Reads until the other side closes or resets the connection.
-pub fn read_until_closed(stream: &mut TcpStream, began: Instant) -> ClosedConnection {
-    stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("time-out");
-    let (mut received, mut buffer) = (Vec::new(), [0; 4096]);
+/// Reads from a connection and returns when the limiter has closed or reset it.
+///
+/// # Panics
+///
+/// Panics if nothing is received for [`WAIT_TIMEOUT`].
+pub fn read_until_closed(stream: &mut TcpStream, started_at: Instant) -> ClosedConnection {
+    stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("a read timeout");
+    let mut received = Vec::new();
+    let mut buffer = [0; 4096];
     loop {
         match retry_on_interrupt(|| stream.read(&mut buffer)) {
             Ok(length) if length > 0 => received.extend_from_slice(&buffer[..length]),
@@ -76,6 +102,6 @@
     }
     ClosedConnection {
         received_text: String::from_utf8_lossy(&received).into_owned(),
-        elapsed: began.elapsed(),
+        elapsed: started_at.elapsed(),
     }
 }
--- a/limiter/tests/stubs/disconnecting_client.rs
+++ b/limiter/tests/stubs/disconnecting_client.rs
@@ -1,96 +1,155 @@
-//! Clients that disconnect: what they request, when they go, and what came to the servers.
+//! Clients that disconnect while their request is pending, and the requests that servers receive
+//! nevertheless.
 
 use std::io::Write;
 use std::net::TcpStream;
 
 use super::{
-    read_response, request_with_long_timeout, serving, sleep_ms, wait_for, Configuration, HttpMessage,
-    LimiterProcess, StubServer,
+    read_response, request_with_long_timeout, sleep_ms, wait_for, Configuration, HttpMessage, LimiterProcess,
+    StubServer,
 };
 
-/// What the client does before the event that would have its request forwarded.
+/// Correlation id of the request that the functions of this module send.
+const PENDING_ID: &str = "c-1";
+
+/// How long the limiter stays stopped after a client has disconnected, in milliseconds. The limiter may
+/// forward a request for 0.1 s after its client has disconnected, and must not after this time.
+const STALL_AFTER_DISCONNECT_MS: u64 = 200;
+
+/// What a client does before an event that makes the limiter forward the client's request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ClientBehaviour {
-    /// Stays: shows that the request is forwarded then.
+    /// The client stays connected. This shows that the event makes the limiter forward the request.
     StaysConnected,
-    /// Leaves, and the limiter has noticed.
+    /// The client disconnects, and the limiter detects the disconnect before the event.
     DisconnectsBeforeEvent,
-    /// Leaves while the limiter is stopped: it finds that and what follows at once, but more than 0.1 s later.
+    /// The client disconnects while the limiter is stopped by SIGSTOP. The limiter sees the disconnect and
+    /// the event at the same time, more than 0.1 s after the disconnect.
     DisconnectsDuringStall,
 }
 
-/// Requests are held for as long as it takes, and there is a plan for [`has_pending_request`].
+/// Changes the configuration so that a request may stay pending until its client times out, and adds the plan
+/// that [`has_pending_request`] needs.
 pub fn allow_long_pending_requests(configuration: Configuration) -> Configuration {
     configuration.with_long_latency_objective().with_rejecting_plan()
 }
 
-/// Whether the request c-1 is open: only then is another one with its id rejected for it. This one is rejected in any
-/// case, before it is forwarded.
+/// Returns whether the request `c-1` is pending.
+///
+/// The function sends a second request with the same correlation id and a plan whose requests are always
+/// rejected, so that no server receives it. The limiter answers 409 only if the first request is pending.
+///
+/// # Panics
+///
+/// Panics as [`LimiterProcess::request`] does.
 pub fn has_pending_request(limiter: &LimiterProcess) -> bool {
-    limiter.request(&request_with_long_timeout("c-1").replace("basic", "refused")).status == 409
+    let duplicate = request_with_long_timeout(PENDING_ID).replace("basic", "refused");
+    limiter.request(&duplicate).status == 409
 }
 
-/// The program without servers, and the request c-1, which therefore waits, with its client.
+/// Starts a limiter without servers, and sends the request `c-1`. Returns when the request is queued, with
+/// the connection of its client.
+///
+/// # Panics
+///
+/// Panics as [`send_and_wait_until_pending`] does.
 pub fn start_with_queued_request() -> (LimiterProcess, TcpStream) {
     let limiter = LimiterProcess::with_endpoints(&[], allow_long_pending_requests);
     let client = send_and_wait_until_pending(&limiter);
     (limiter, client)
 }
 
-/// Sends the request c-1 and waits until the program has taken it.
+/// Sends the request `c-1` and returns when the request is pending, with the connection of its client. The
+/// configuration must be that of [`allow_long_pending_requests`].
+///
+/// # Panics
+///
+/// Panics if the request is not pending within [`super::WAIT_TIMEOUT`].
 pub fn send_and_wait_until_pending(limiter: &LimiterProcess) -> TcpStream {
-    let client = limiter.send(&request_with_long_timeout("c-1"));
-    wait_for("the request to be taken", || has_pending_request(limiter));
+    let client = limiter.send(&request_with_long_timeout(PENDING_ID));
+    wait_until_pending(limiter);
     client
 }
 
+/// Returns when the request `c-1` is pending.
+///
+/// # Panics
+///
+/// Panics if the request is not pending within [`super::WAIT_TIMEOUT`].
+pub fn wait_until_pending(limiter: &LimiterProcess) {
+    wait_for("the request to be pending", || has_pending_request(limiter));
+}
+
+/// Returns when the request `c-1` is no longer pending because the limiter has detected that its client
+/// disconnected.
+///
+/// # Panics
+///
+/// Panics if the request is still pending after [`super::WAIT_TIMEOUT`].
 pub fn wait_until_disconnect_is_detected(limiter: &LimiterProcess) {
-    wait_for("the disconnect to be noticed", || !has_pending_request(limiter));
+    wait_for("the disconnect to be detected", || !has_pending_request(limiter));
 }
 
-/// Has the client leave before an event, or stay; then this is its response's status.
+/// Has the client of the request `c-1` behave as told, and triggers the event. Returns the status of the
+/// response if the client stays connected, and `None` otherwise.
+///
+/// # Panics
+///
+/// Panics if the client stays connected and receives no response, or if the limiter does not detect a
+/// disconnect within [`super::WAIT_TIMEOUT`].
 pub fn race_client_with_event(
     limiter: &LimiterProcess,
     mut client: TcpStream,
     behaviour: ClientBehaviour,
-    event: impl FnOnce(),
+    trigger_event: impl FnOnce(),
 ) -> Option<u16> {
-    if behaviour == ClientBehaviour::StaysConnected {
-        event();
-        return Some(read_response(&mut client).status);
-    }
-    if behaviour == ClientBehaviour::DisconnectsDuringStall {
-        limiter.signal("STOP");
-    }
-    drop(client);
-    if behaviour == ClientBehaviour::DisconnectsBeforeEvent {
-        wait_until_disconnect_is_detected(limiter);
-    }
-    event();
-    if behaviour == ClientBehaviour::DisconnectsDuringStall {
-        // No wait for anything: from here on nothing may begin.
-        sleep_ms(200);
-        limiter.signal("CONT");
+    match behaviour {
+        ClientBehaviour::StaysConnected => {
+            trigger_event();
+            Some(read_response(&mut client).status)
+        }
+        ClientBehaviour::DisconnectsBeforeEvent => {
+            drop(client);
+            wait_until_disconnect_is_detected(limiter);
+            trigger_event();
+            None
+        }
+        ClientBehaviour::DisconnectsDuringStall => {
+            limiter.signal("STOP");
+            drop(client);
+            trigger_event();
+            // This sleep awaits no event: it makes the disconnect so old that no attempt may begin any more.
+            sleep_ms(STALL_AFTER_DISCONNECT_MS);
+            limiter.signal("CONT");
+            None
+        }
     }
-    None
 }
 
-/// Ends the program and returns the ids of all requests that came to the servers until then, sorted.
+/// Shuts the limiter down, and returns the correlation ids of all requests that the servers have received,
+/// sorted.
+///
+/// # Panics
+///
+/// Panics if the limiter does not exit with code 0, or if a server does not read all of its connections,
+/// within [`super::WAIT_TIMEOUT`].
 pub fn shut_down_and_collect_ids(mut limiter: LimiterProcess, servers: &[StubServer]) -> Vec<String> {
     const LAST_ID: &str = "c-last";
     limiter.signal("TERM");
     assert_eq!(limiter.wait_for_exit_code(), Some(0));
     let mut ids = Vec::new();
     for server in servers {
-        // Connections are accepted in their order: with this one all of them have been read.
-        let mut last = TcpStream::connect(server.addr).expect("connect");
-        last.write_all(request_with_long_timeout(LAST_ID).as_bytes()).expect("write");
-        wait_for("the last one", || server.num_received_with_id(LAST_ID) > 0);
-        drop(last);
-        wait_for("all to be read", || server.num_closed_connections() == server.num_connections());
-        ids.extend(
-            server.received_requests().iter().map(HttpMessage::correlation_id).filter(|id| id != LAST_ID),
-        );
+        // A server accepts connections in their order. Once it has received the request on this connection,
+        // it has accepted all connections of the limiter.
+        let mut last_client = TcpStream::connect(server.addr).expect("a connection to the server");
+        last_client.write_all(request_with_long_timeout(LAST_ID).as_bytes()).expect("a written request");
+        wait_for("the last request", || server.num_received_with_id(LAST_ID) > 0);
+        drop(last_client);
+        wait_for("all connections to be read to their end", || {
+            server.num_closed_connections() == server.num_connections()
+        });
+        let received = server.received_requests();
+        ids.extend(received.iter().map(HttpMessage::correlation_id).filter(|id| id != LAST_ID));
     }
     ids.sort();
     ids
--- a/limiter/tests/stubs/discovery.rs
+++ b/limiter/tests/stubs/discovery.rs
@@ -1,4 +1,4 @@
-//! A stub of discovery, and the endpoint lists that it sends.
+//! A stub of discovery: it answers watch requests, and sends endpoint lists and heartbeats on the watches.
 
 use std::io::Write;
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -6,89 +6,52 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use super::{lock, read_message, sleep_ms, wait_for, HttpMessage, StubServer};
+use super::{lock, read_message, sleep_ms, wait_for, HttpMessage};
 
-/// What a watch sends while there is nothing to say.
+/// What a watch sends while there is no change.
 pub const HEARTBEAT: &str = "\n";
+/// Time between two heartbeats of a watch, in milliseconds. The limiter reopens a watch that is silent for
+/// 2.5 s.
 const HEARTBEAT_INTERVAL_MS: u64 = 500;
 
-/// A server as discovery announces it.
-#[derive(Clone, Debug)]
-pub struct Endpoint {
-    id: &'static str,
-    addr: SocketAddr,
-    state: &'static str,
-}
-
-pub fn serving(id: &'static str, server: &StubServer) -> Endpoint {
-    serving_at(id, server.addr)
-}
-
-pub fn serving_at(id: &'static str, addr: SocketAddr) -> Endpoint {
-    Endpoint { id, addr, state: "active" }
-}
-
-pub fn draining_at(id: &'static str, addr: SocketAddr) -> Endpoint {
-    Endpoint { id, addr, state: "leaving" }
-}
-
-pub fn removed_at(id: &'static str, addr: SocketAddr) -> Endpoint {
-    Endpoint { id, addr, state: "left" }
-}
-
-/// A line of discovery that announces all servers.
-pub fn complete_list(version: u64, endpoints: &[Endpoint]) -> String {
-    endpoint_list(version, true, endpoints)
-}
-
-/// A line of discovery that announces those that have changed.
-pub fn list_change(version: u64, endpoints: &[Endpoint]) -> String {
-    endpoint_list(version, false, endpoints)
-}
-
-fn endpoint_list(version: u64, is_complete: bool, endpoints: &[Endpoint]) -> String {
-    let entry = |Endpoint { id, addr, state }: &Endpoint| {
-        format!(
-            r#"{{"id":"{id}","addr":"{addr}","zone":"a","kind":"m","cell":0,"state":"{state}","weight":1.0,"started_ms":0}}"#
-        )
-    };
-    let entries: Vec<String> = endpoints.iter().map(entry).collect();
-    let entries = entries.join(",");
-    format!("{{\"version\":{version},\"full\":{is_complete},\"servers\":[{entries}]}}\n")
-}
-
+/// What the test and the threads of a stub share.
 #[derive(Default)]
 struct State {
-    /// The head of each watch that has begun.
-    watch_requests: Mutex<Vec<String>>,
+    /// Head of each watch request that was answered, in their order.
+    answered_heads: Mutex<Vec<String>>,
+    /// Watches that are open, in their order.
     watches: Mutex<Vec<TcpStream>>,
     heartbeats_stopped: AtomicBool,
-    /// Calls are taken and not answered.
+    /// Watch requests are accepted, and not answered until the stub resumes.
     is_unresponsive: AtomicBool,
-    unanswered_calls: Mutex<Vec<TcpStream>>,
-    num_calls: AtomicUsize,
-    /// So many calls are closed in place of an answer.
+    /// Connections of the watch requests that wait for the stub to resume.
+    unanswered: Mutex<Vec<TcpStream>>,
+    /// Watch requests that were received, answered or not.
+    num_watch_requests: AtomicUsize,
+    /// Watch requests that are still to be closed without an answer.
     num_failures: AtomicUsize,
-    /// Time until a call is answered, if it is not at once.
+    /// Time between a watch request and its answer.
     response_delay: Duration,
-    /// What a new watch begins with, if not a heartbeat: until something else has been sent, or a watch has ended. A
-    /// call that a busy machine has made too slow is given up, and the next one has to get it.
+    /// The first text of each new watch. `None` for a heartbeat. The text stays until the test sends another
+    /// one or closes the watches: on a busy machine the limiter may abandon a watch request as slow, and the
+    /// watch that replaces it must begin with the same text.
     first_message: Mutex<Option<String>>,
 }
 
 impl State {
-    /// Takes calls as they come.
-    fn accept_calls(self: Arc<State>, listener: &TcpListener) {
+    fn accept_watch_requests(self: Arc<State>, listener: &TcpListener) {
         for stream in listener.incoming() {
             let Ok(mut stream) = stream else { continue };
             let Ok(request) = read_message(&mut stream) else { continue };
-            self.num_calls.fetch_add(1, Ordering::SeqCst);
-            let mut unanswered_calls = lock(&self.unanswered_calls);
+            self.num_watch_requests.fetch_add(1, Ordering::SeqCst);
+            // The lock is taken before the flag is read, so that no request is added after the stub has
+            // resumed.
+            let mut unanswered = lock(&self.unanswered);
             if self.is_unresponsive.load(Ordering::SeqCst) {
-                unanswered_calls.push(stream);
+                unanswered.push(stream);
                 continue;
             }
-            drop(unanswered_calls);
+            drop(unanswered);
             if self.response_delay.is_zero() {
                 self.answer(stream, request);
             } else {
@@ -101,16 +64,17 @@
         }
     }
 
+    /// Opens a watch, or closes the connection if the request is one of those that fail.
     fn answer(&self, stream: TcpStream, request: HttpMessage) {
-        let fewer = |left: usize| left.checked_sub(1);
-        if self.num_failures.fetch_update(Ordering::SeqCst, Ordering::SeqCst, fewer).is_ok() {
+        let decrement = |num_failures: usize| num_failures.checked_sub(1);
+        if self.num_failures.fetch_update(Ordering::SeqCst, Ordering::SeqCst, decrement).is_ok() {
             return;
         }
-        self.begin_watch(stream);
-        lock(&self.watch_requests).push(request.head);
+        self.open_watch(stream);
+        lock(&self.answered_heads).push(request.head);
     }
 
-    fn begin_watch(&self, mut stream: TcpStream) {
+    fn open_watch(&self, mut stream: TcpStream) {
         let text = lock(&self.first_message).clone().unwrap_or_else(|| HEARTBEAT.to_string());
         let _ = stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
         write_chunk(&mut stream, &text);
@@ -121,106 +85,129 @@
         loop {
             sleep_ms(HEARTBEAT_INTERVAL_MS);
             if !self.heartbeats_stopped.load(Ordering::SeqCst) {
-                lock(&self.watches).iter_mut().for_each(|watch| write_chunk(watch, HEARTBEAT));
+                for watch in lock(&self.watches).iter_mut() {
+                    write_chunk(watch, HEARTBEAT);
+                }
             }
         }
     }
 }
 
+/// Writes a chunk. The limiter may have closed the watch, which is no error of the test.
 fn write_chunk(stream: &mut TcpStream, text: &str) {
     let _ = write!(stream, "{:x}\r\n{text}\r\n", text.len());
 }
 
-/// Discovery: watches that send what the test says, and heartbeats.
+/// A stub of discovery. The test decides what its watches send.
 pub struct StubDiscovery {
+    /// Address at which the stub accepts watch requests.
     pub addr: SocketAddr,
     state: Arc<State>,
 }
 
 impl StubDiscovery {
-    /// New watches begin with this text.
+    /// Starts a stub that answers watch requests immediately. Each new watch begins with `first_message`.
+    ///
+    /// # Panics
+    ///
+    /// Panics if no port can be bound.
     pub fn new(first_message: String) -> StubDiscovery {
         StubDiscovery::with_response_delay_ms(first_message, 0)
     }
 
-    /// The same, with calls that are answered late.
+    /// Starts a stub like [`StubDiscovery::new`] that answers each watch request after a delay.
     pub fn with_response_delay_ms(first_message: String, response_delay_ms: u64) -> StubDiscovery {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("bind");
-        let addr = listener.local_addr().expect("address");
-        let response_delay = Duration::from_millis(response_delay_ms);
-        let first_message = Mutex::new(Some(first_message));
-        let state = Arc::new(State { first_message, response_delay, ..State::default() });
-        let (accepting, beating) = (state.clone(), state.clone());
-        std::thread::spawn(move || accepting.accept_calls(&listener));
-        std::thread::spawn(move || beating.send_heartbeats());
+        let listener = TcpListener::bind("127.0.0.1:0").expect("a listener");
+        let addr = listener.local_addr().expect("a local address");
+        let state = Arc::new(State {
+            first_message: Mutex::new(Some(first_message)),
+            response_delay: Duration::from_millis(response_delay_ms),
+            ..State::default()
+        });
+        let accepting_state = state.clone();
+        std::thread::spawn(move || accepting_state.accept_watch_requests(&listener));
+        let heartbeat_state = state.clone();
+        std::thread::spawn(move || heartbeat_state.send_heartbeats());
         StubDiscovery { addr, state }
     }
 
-    /// The same, with calls at first that are closed late in place of an answer.
+    /// Starts a stub like [`StubDiscovery::with_response_delay_ms`] that closes the first `num_failures`
+    /// watch requests after the delay without an answer.
     pub fn with_slow_failures(first_message: String, delay_ms: u64, num_failures: usize) -> StubDiscovery {
         let discovery = StubDiscovery::with_response_delay_ms(first_message, delay_ms);
         discovery.state.num_failures.store(num_failures, Ordering::SeqCst);
         discovery
     }
 
-    /// An address where nothing listens.
+    /// Returns a stub that refuses connections: nothing listens at its address.
     pub fn unreachable() -> StubDiscovery {
         StubDiscovery { addr: SocketAddr::from(([127, 0, 0, 1], 1)), state: Arc::default() }
     }
 
-    /// One that is silent: it takes calls and says nothing.
+    /// Starts a stub that accepts watch requests and does not answer them until
+    /// [`StubDiscovery::resume_with`].
     pub fn unresponsive() -> StubDiscovery {
         let discovery = StubDiscovery::new(HEARTBEAT.to_string());
         discovery.stop_responding();
         discovery
     }
 
-    /// Sends a text on the newest watch.
+    /// Waits for a first watch, and sends a text on the newest one. If the text does not end with a line end,
+    /// heartbeats stop until a text does.
+    ///
+    /// # Panics
+    ///
+    /// Panics if no watch is opened within [`super::WAIT_TIMEOUT`].
     pub fn send(&self, text: &str) {
-        wait_for("a watch", || !self.watch_request_heads().is_empty());
+        wait_for("a watch", || self.num_opened_watches() > 0);
         *lock(&self.state.first_message) = None;
         if let Some(watch) = lock(&self.state.watches).last_mut() {
-            // A heartbeat would end a half line: it is held back from now on.
+            // A heartbeat would end an incomplete line, so that none may be sent after this text.
             self.state.heartbeats_stopped.store(true, Ordering::SeqCst);
             write_chunk(watch, text);
         }
         self.state.heartbeats_stopped.store(!text.ends_with('\n'), Ordering::SeqCst);
     }
 
-    /// The heads of the watches that have begun.
+    /// Returns the heads of the watch requests that opened a watch immediately or after the delay, in their
+    /// order.
     pub fn watch_request_heads(&self) -> Vec<String> {
-        lock(&self.state.watch_requests).clone()
+        lock(&self.state.answered_heads).clone()
     }
 
+    /// Returns the number of [`StubDiscovery::watch_request_heads`].
     pub fn num_opened_watches(&self) -> usize {
-        lock(&self.state.watch_requests).len()
+        lock(&self.state.answered_heads).len()
     }
 
-    /// Calls so far, answered or not.
+    /// Returns the number of watch requests that were received, answered or not.
     pub fn num_watch_requests(&self) -> usize {
-        self.state.num_calls.load(Ordering::SeqCst)
+        self.state.num_watch_requests.load(Ordering::SeqCst)
     }
 
-    /// Says nothing more, on old watches or to new calls.
+    /// Stops heartbeats, and answers no further watch request until [`StubDiscovery::resume_with`].
     pub fn stop_responding(&self) {
         self.stop_heartbeats();
         self.state.is_unresponsive.store(true, Ordering::SeqCst);
     }
 
-    /// Answers the calls that wait with a text, and all that come from now on.
+    /// Answers the outstanding watch requests and all further ones. The new watches begin with this text.
     pub fn resume_with(&self, text: &str) {
         *lock(&self.state.first_message) = Some(text.to_string());
-        let mut unanswered_calls = lock(&self.state.unanswered_calls);
+        let mut unanswered = lock(&self.state.unanswered);
         self.state.is_unresponsive.store(false, Ordering::SeqCst);
-        unanswered_calls.drain(..).for_each(|stream| self.state.begin_watch(stream));
+        for stream in unanswered.drain(..) {
+            self.state.open_watch(stream);
+        }
     }
 
+    /// Sends no heartbeats from now on. New watches begin with a heartbeat.
     pub fn stop_heartbeats(&self) {
         *lock(&self.state.first_message) = None;
         self.state.heartbeats_stopped.store(true, Ordering::SeqCst);
     }
 
-    /// Ends all watches.
+    /// Closes all open watches. New watches begin with a heartbeat.
     pub fn close_watches(&self) {
         *lock(&self.state.first_message) = None;
         for watch in lock(&self.state.watches).drain(..) {
--- a/limiter/tests/stubs/gate.rs
+++ b/limiter/tests/stubs/gate.rs
@@ -1,4 +1,4 @@
-//! Control over when, and how, a stub server's connection goes on or ends.
+//! Control over when a stub server responds, and over how it closes a connection.
 
 use std::net::TcpStream;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -6,29 +6,43 @@
 
 use super::wait_for;
 
-/// Closed until the test opens it; its clones open with it.
+/// A gate at which a thread of a stub waits until the test opens it. The gate is closed at first, and all of
+/// its clones open together.
 #[derive(Clone, Default)]
 pub struct Gate(Arc<AtomicBool>);
 
 impl Gate {
+    /// Opens the gate for good. All threads that wait at it continue.
     pub fn open(&self) {
         self.0.store(true, Ordering::SeqCst);
     }
 
+    /// Returns whether the gate has been opened.
     pub fn is_open(&self) -> bool {
         self.0.load(Ordering::SeqCst)
     }
 
+    /// Blocks the calling thread until the gate is open.
+    ///
+    /// # Panics
+    ///
+    /// Panics if the gate is not opened within [`super::WAIT_TIMEOUT`].
     pub fn wait_until_open(&self) {
-        wait_for("the gate", || self.is_open());
+        wait_for("the gate to open", || self.is_open());
     }
 }
 
-/// Has the next close of a connection be a reset.
+/// Sets the linger time of a connection to zero, so that the connection is reset when it is closed.
+///
+/// # Panics
+///
+/// Panics if the socket option cannot be set.
 pub fn reset_on_close(stream: &TcpStream) {
+    // The standard library has no stable function for this option. tokio has one, for sockets of a runtime.
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     let _context = runtime.enter();
-    let stream = stream.try_clone().expect("a clone");
-    stream.set_nonblocking(true).expect("not blocking");
-    tokio::net::TcpStream::from_std(stream).expect("a stream").set_zero_linger().expect("no linger");
+    let stream = stream.try_clone().expect("a clone of the stream");
+    stream.set_nonblocking(true).expect("non-blocking mode");
+    let stream = tokio::net::TcpStream::from_std(stream).expect("a stream of the runtime");
+    stream.set_zero_linger().expect("a linger time of zero");
 }
--- a/limiter/tests/stubs/http.rs
+++ b/limiter/tests/stubs/http.rs
@@ -1,39 +1,52 @@
-//! HTTP messages as they stand on a connection.
+//! HTTP messages as stubs read and write them.
 
 use std::io::{Error, ErrorKind, Read, Result, Write};
 use std::net::TcpStream;
 
 use super::retry_on_interrupt;
 
-/// A request or response as it came.
+/// The response of a server that has not executed the request and says so.
+const REJECTION: &[u8] = b"HTTP/1.1 503 Busy\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n";
+
+/// A request or a response as it was received.
 #[derive(Clone, Debug, Default)]
 pub struct HttpMessage {
-    /// Of a response.
+    /// Status code of a response. 0 for a request.
     pub status: u16,
+    /// First line and headers, with the empty line after them.
     pub head: String,
+    /// Body, empty if the message has none.
     pub body: String,
 }
 
 impl HttpMessage {
+    /// Returns the value of the first header with this name, without surrounding spaces, or `None` if there
+    /// is none. The case of the name is ignored.
     pub fn header(&self, name: &str) -> Option<String> {
         let mut headers = self.head.lines().skip(1).filter_map(|line| line.split_once(':'));
-        let (_, value) = headers.find(|(found, _)| found.eq_ignore_ascii_case(name))?;
+        let (_, value) = headers.find(|(found_name, _)| found_name.eq_ignore_ascii_case(name))?;
         Some(value.trim().to_string())
     }
 
-    /// The id that the client gave the request.
+    /// Returns the correlation id that the client gave the request. Empty if the request has none.
     pub fn correlation_id(&self) -> String {
         self.header("x-correlation-id").unwrap_or_default()
     }
 }
 
-/// Reads one message of a connection; an error if the connection ends before it is complete, with what came until then.
+/// Reads one message from a connection and returns when the message is complete. Only a body whose length is
+/// given by `Content-Length` is read.
+///
+/// # Errors
+///
+/// Returns the error of the connection. Returns an error of kind `UnexpectedEof` if the connection is closed
+/// before the message is complete; if the head is incomplete, the error quotes the bytes that were received.
 pub fn read_message(stream: &mut TcpStream) -> Result<HttpMessage> {
     let mut head = Vec::new();
     let mut byte = [0];
     while !head.ends_with(b"\r\n\r\n") {
         if retry_on_interrupt(|| stream.read(&mut byte))? == 0 {
-            return Err(broken_off(&head));
+            return Err(closed_within_head(&head));
         }
         head.push(byte[0]);
     }
@@ -47,20 +60,18 @@
     Ok(message)
 }
 
-fn broken_off(head: &[u8]) -> Error {
+fn closed_within_head(head: &[u8]) -> Error {
     let text = String::from_utf8_lossy(head);
-    Error::new(ErrorKind::UnexpectedEof, format!("the connection has ended after {text:?}"))
+    Error::new(ErrorKind::UnexpectedEof, format!("the connection was closed after {text:?}"))
 }
 
-/// Writes a good response; false if the connection has ended.
+/// Writes a response with status 200 and this body. Returns false if the connection is closed.
 pub fn write_ok(stream: &mut TcpStream, body: &str) -> bool {
     write!(stream, "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len()).is_ok()
 }
 
-/// A server's proof that it has not executed the request.
-const REJECTION: &[u8] = b"HTTP/1.1 503 Busy\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n";
-
-/// Writes a rejection; false if the connection has ended.
+/// Writes the response of a server that has not executed the request. Returns false if the connection is
+/// closed.
 pub fn write_rejection(stream: &mut TcpStream) -> bool {
     stream.write_all(REJECTION).is_ok()
 }
--- a/limiter/tests/stubs/in_flight_request.rs
+++ b/limiter/tests/stubs/in_flight_request.rs
@@ -1,4 +1,4 @@
-//! A request that a server has and has not answered yet.
+//! A request that a server has received and not answered yet.
 
 use std::net::TcpStream;
 use std::sync::Arc;
@@ -8,15 +8,28 @@
     LimiterProcess, StubServer,
 };
 
-/// Servers, the program in front of them, and a client whose request one of them has.
+/// Ids under which the servers are announced, in their order.
+const SERVER_IDS: [&str; 2] = ["s-1", "s-2"];
+
+/// Servers, a limiter in front of them, and a client whose request is in flight at one of the servers.
 pub struct InFlightRequest {
+    /// The servers, announced as s-1 and s-2.
     pub servers: Vec<StubServer>,
+    /// The limiter that has forwarded the request.
     pub limiter: LimiterProcess,
+    /// The connection on which the request was sent.
     pub client: TcpStream,
 }
 
 impl InFlightRequest {
-    /// One or two servers, which respond alike.
+    /// Starts one or two servers that respond alike and a limiter in front of them, and sends `request`.
+    /// Returns when a server has received the request.
+    ///
+    /// `respond` answers each request on its connection, and returns whether the connection stays open.
+    ///
+    /// # Panics
+    ///
+    /// Panics if no server has received the request within [`super::WAIT_TIMEOUT`].
     pub fn start(
         num_servers: usize,
         respond: impl Fn(&HttpMessage, &mut TcpStream) -> bool + Send + Sync + 'static,
@@ -24,20 +37,28 @@
         alter: impl Fn(Configuration) -> Configuration,
     ) -> InFlightRequest {
         let respond = Arc::new(respond);
-        let alike = |_| {
+        let mut servers: Vec<StubServer> = Vec::new();
+        let mut endpoints: Vec<Endpoint> = Vec::new();
+        for id in SERVER_IDS.into_iter().take(num_servers) {
             let respond = respond.clone();
-            StubServer::new(move |request, stream| respond(request, stream))
-        };
-        let servers: Vec<StubServer> = (0..num_servers).map(alike).collect();
-        let endpoints: Vec<Endpoint> =
-            ["s-1", "s-2"].into_iter().zip(&servers).map(|(id, server)| serving(id, server)).collect();
+            let server = StubServer::new(move |request, stream| respond(request, stream));
+            endpoints.push(serving(id, &server));
+            servers.push(server);
+        }
         let limiter = LimiterProcess::with_endpoints(&endpoints, alter);
         let client = limiter.send(request);
-        wait_for("the attempt", || servers.iter().map(StubServer::num_received).sum::<usize>() == 1);
+        wait_for("the attempt to reach a server", || {
+            servers.iter().map(StubServer::num_received).sum::<usize>() == 1
+        });
         InFlightRequest { servers, limiter, client }
     }
 
-    /// One server that responds after 0.3 s, and the idempotent request that it has.
+    /// Starts one server that responds after 0.3 s, a limiter with the default configuration, and the default
+    /// idempotent request.
+    ///
+    /// # Panics
+    ///
+    /// Panics as [`InFlightRequest::start`] does.
     pub fn start_at_slow_server() -> InFlightRequest {
         let respond = |_: &HttpMessage, stream: &mut TcpStream| {
             sleep_ms(300);
--- a/limiter/tests/stubs/limiter_process.rs
+++ b/limiter/tests/stubs/limiter_process.rs
@@ -1,203 +1,115 @@
-//! The program under test, as a process.
+//! The limiter under test, as a child process.
 
-use std::io::{BufRead, BufReader, Write};
+mod start;
+
+use std::io::Write;
 use std::net::{SocketAddr, TcpStream};
-use std::path::{Path, PathBuf};
-use std::process::{Child, Command, Stdio};
-use std::sync::atomic::{AtomicUsize, Ordering};
-use std::sync::{Arc, Mutex};
+use std::path::PathBuf;
+use std::process::Child;
 
 use super::{
-    complete_list, lock, send_and_receive, serving, wait_for, Configuration, Endpoint, HttpMessage,
-    StubDiscovery, StubServer, READINESS_REQUEST,
+    send_and_receive, send_signal, wait_for, Configuration, HttpMessage, ProcessLog, StubDiscovery,
+    READINESS_REQUEST,
 };
 
-/// Descriptors that a process may have open, where the test sets no limit of its own.
-pub const DEFAULT_DESCRIPTOR_LIMIT: u32 = 1024;
-
-/// A line of the log that tells where the program listens, up to the address.
-pub const LISTENING_LOG_PREFIX: &str = "listening address=";
+pub use start::FailedStart;
 
-/// The level of lines that tests show and do not look for.
-const DETAIL_LEVEL: &str = " DEBUG ";
-
-/// The program, running; it ends with the test.
+/// A running limiter with a stub of discovery. Dropping it kills the process; a test that fails prints the
+/// log.
 pub struct LimiterProcess {
+    /// Address at which the limiter accepts clients.
     pub addr: SocketAddr,
+    /// The discovery that the limiter watches.
     pub discovery: StubDiscovery,
     child: Child,
-    log: Arc<Mutex<String>>,
+    log: ProcessLog,
     configuration: PathBuf,
 }
 
-/// A program that would not start.
-pub struct FailedStart {
-    pub exit_code: Option<i32>,
-    pub stderr: String,
-}
-
-fn write_configuration(configuration: &Configuration) -> PathBuf {
-    static NUMBER: AtomicUsize = AtomicUsize::new(0);
-    let number = NUMBER.fetch_add(1, Ordering::SeqCst);
-    let path = std::env::temp_dir().join(format!("limiter-test-{}-{number}.json", std::process::id()));
-    std::fs::write(&path, configuration.text()).expect("the configuration is written");
-    path
-}
-
-fn command(configuration: &Path, descriptors: u32) -> Command {
-    let mut command = Command::new("sh");
-    command.args(["-c", "ulimit -n \"$1\"; exec \"$0\"", env!("CARGO_BIN_EXE_limiter")]);
-    command.arg(descriptors.to_string());
-    command.env_remove("ROUTER_NAME").env_remove("ROUTER_LISTEN").env_remove("ROUTER_DISCOVERY");
-    command.env("ROUTER_CONFIG", configuration).stderr(Stdio::piped());
-    // A test that fails shows what became of each request and connection.
-    command.env("LIMITER_LOG", "debug");
-    command
-}
-
-/// The library that has system calls fail, which cargo has built beside the test.
-fn fault_shim() -> PathBuf {
-    let test = std::env::current_exe().expect("the path of this test");
-    let library = test.with_file_name("libfault_shim.so");
-    assert!(library.exists(), "{} is not built", library.display());
-    library
-}
-
-pub fn send_signal(pid: u32, name: &str) {
-    assert!(Command::new("kill").args(["-s", name, &pid.to_string()]).status().expect("kill").success());
-}
-
+/// Configuration, signals and the end of the process.
 impl LimiterProcess {
-    /// Starts in front of one server, s-1.
-    pub fn in_front_of(server: &StubServer) -> LimiterProcess {
-        LimiterProcess::with_server(server, |configuration| configuration)
-    }
-
-    /// Starts in front of one server, s-1, with an altered configuration.
-    pub fn with_server(
-        server: &StubServer,
-        alter: impl Fn(Configuration) -> Configuration,
-    ) -> LimiterProcess {
-        LimiterProcess::start(&[serving("s-1", server)], alter, DEFAULT_DESCRIPTOR_LIMIT)
-    }
-
-    /// Starts with an empty endpoint list.
-    pub fn without_servers() -> LimiterProcess {
-        LimiterProcess::with_endpoints(&[], |configuration| configuration)
-    }
-
-    pub fn with_endpoints(
-        endpoints: &[Endpoint],
-        alter: impl Fn(Configuration) -> Configuration,
-    ) -> LimiterProcess {
-        LimiterProcess::start(endpoints, alter, DEFAULT_DESCRIPTOR_LIMIT)
-    }
-
-    /// Starts with a limit on descriptors that the configuration does not tell, in front of one server.
-    pub fn with_os_descriptor_limit(server: &StubServer, descriptors: u32) -> LimiterProcess {
-        LimiterProcess::start(&[serving("s-1", server)], |configuration| configuration, descriptors)
-    }
-
-    /// Waits until the program is ready, if it has servers.
-    fn start(
-        endpoints: &[Endpoint],
-        alter: impl Fn(Configuration) -> Configuration,
-        descriptors: u32,
-    ) -> LimiterProcess {
-        let discovery = StubDiscovery::new(complete_list(1, endpoints));
-        let limiter = LimiterProcess::with_discovery(discovery, alter, descriptors);
-        wait_for("the watch", || limiter.discovery.num_opened_watches() > 0);
-        if !endpoints.is_empty() {
-            limiter.wait_until_ready();
-        }
-        limiter
-    }
-
-    /// Starts with a discovery of any kind; waits until the program listens.
-    pub fn with_discovery(
-        discovery: StubDiscovery,
-        alter: impl Fn(Configuration) -> Configuration,
-        descriptors: u32,
-    ) -> LimiterProcess {
-        LimiterProcess::with_faults(discovery, alter, descriptors, &[])
-    }
-
-    /// Starts with system calls that fail: variables of `fault_shim::plan` and their values. Waits until the program
-    /// listens.
-    pub fn with_faults(
-        discovery: StubDiscovery,
-        alter: impl Fn(Configuration) -> Configuration,
-        descriptors: u32,
-        faults: &[(&str, &str)],
-    ) -> LimiterProcess {
-        let discovery_address = discovery.addr.to_string();
-        let configuration = write_configuration(&alter(Configuration::with_discovery_at(&discovery_address)));
-        let mut command = command(&configuration, descriptors);
-        if !faults.is_empty() {
-            command.env("LD_PRELOAD", fault_shim()).envs(faults.iter().copied());
-        }
-        // At the start the variable stands above the file; a reload goes by the file.
-        command.env("ROUTER_DISCOVERY", discovery_address);
-        let mut child = command.spawn().expect("the program starts");
-        let stderr = BufReader::new(child.stderr.take().expect("piped"));
-        let log = Arc::new(Mutex::new(String::new()));
-        let written_log = log.clone();
-        std::thread::spawn(move || {
-            for line in stderr.lines().map_while(Result::ok) {
-                lock(&written_log).push_str(&format!("{line}\n"));
-            }
-        });
-        let mut addr = None;
-        wait_for("the program to listen", || {
-            addr = listening_address(&lock(&log)).and_then(|address| address.parse().ok());
-            addr.is_some()
-        });
-        LimiterProcess { addr: addr.expect("an address"), discovery, child, log, configuration }
-    }
-
-    /// A start that must fail.
-    pub fn fail_to_start(alter: impl Fn(Configuration) -> Configuration) -> FailedStart {
-        let configuration = write_configuration(&alter(Configuration::with_discovery_at("127.0.0.1:1")));
-        let output = command(&configuration, DEFAULT_DESCRIPTOR_LIMIT).output().expect("the program starts");
-        let _ = std::fs::remove_file(configuration);
-        let stderr = String::from_utf8_lossy(&output.stderr).into_owned();
-        FailedStart { exit_code: output.status.code(), stderr }
-    }
-
-    /// Replaces the configuration and has the program read it.
+    /// Rewrites the configuration file and sends SIGHUP. Returns when the signal has been sent.
+    ///
+    /// # Panics
+    ///
+    /// Panics if the file cannot be read or written.
     pub fn reload(&self, alter: impl Fn(Configuration) -> Configuration) {
-        let text = std::fs::read_to_string(&self.configuration).expect("the configuration is there");
+        let text = std::fs::read_to_string(&self.configuration).expect("a readable configuration");
         let altered = alter(Configuration::from_text(text));
-        std::fs::write(&self.configuration, altered.text()).expect("the configuration is written");
+        std::fs::write(&self.configuration, altered.text()).expect("a written configuration");
         self.signal("HUP");
     }
 
-    /// Replaces the text of the configuration, or removes the file; what it was before.
+    /// Replaces the text of the configuration file, or removes the file if `text` is `None`. Returns the
+    /// previous text, which is empty if there was no file. The limiter is not notified.
+    ///
+    /// # Panics
+    ///
+    /// Panics if the file cannot be written or removed.
     pub fn replace_configuration(&self, text: Option<&str>) -> String {
-        let before = std::fs::read_to_string(&self.configuration).unwrap_or_default();
+        let previous = std::fs::read_to_string(&self.configuration).unwrap_or_default();
         match text {
-            Some(text) => std::fs::write(&self.configuration, text).expect("the configuration is written"),
-            None => std::fs::remove_file(&self.configuration).expect("the configuration is there"),
+            Some(text) => std::fs::write(&self.configuration, text).expect("a written configuration"),
+            None => std::fs::remove_file(&self.configuration).expect("a removed configuration"),
         }
-        before
+        previous
+    }
+
+    /// Sends a signal to the process, by its name without `SIG`. See [`send_signal`].
+    pub fn signal(&self, name: &str) {
+        send_signal(self.child.id(), name);
+    }
+
+    /// Waits until the process exits. Returns its exit code, or `None` if a signal ended the process.
+    ///
+    /// # Panics
+    ///
+    /// Panics if the process does not exit within [`super::WAIT_TIMEOUT`].
+    pub fn wait_for_exit_code(&mut self) -> Option<i32> {
+        wait_for("the exit", || self.child.try_wait().expect("a child process").is_some());
+        self.child.wait().expect("a child process").code()
     }
+}
 
+/// Requests to the limiter.
+impl LimiterProcess {
+    /// Opens a connection.
+    ///
+    /// # Panics
+    ///
+    /// Panics if the connect fails.
     pub fn connect(&self) -> TcpStream {
-        TcpStream::connect(self.addr).expect("connect")
+        TcpStream::connect(self.addr).expect("a connection to the limiter")
     }
 
-    /// Writes a text on a new connection.
+    /// Opens a connection, writes a text to it and returns the connection.
+    ///
+    /// # Panics
+    ///
+    /// Panics if the connect or the write fails.
     pub fn send(&self, text: &str) -> TcpStream {
         let mut client = self.connect();
-        client.write_all(text.as_bytes()).expect("write");
+        client.write_all(text.as_bytes()).expect("a written text");
         client
     }
 
-    /// The response to a request on a new connection.
+    /// Sends a request on a new connection and returns the response.
+    ///
+    /// # Panics
+    ///
+    /// Panics as [`LimiterProcess::connect`] and [`send_and_receive`] do.
     pub fn request(&self, request: &str) -> HttpMessage {
         send_and_receive(&mut self.connect(), request)
     }
+}
 
+/// What a test observes of the limiter.
+impl LimiterProcess {
+    /// Asks the limiter whether it is ready.
+    ///
+    /// # Panics
+    ///
+    /// Panics if the status is neither 200 nor 503.
     pub fn is_ready(&self) -> bool {
         match self.request(READINESS_REQUEST).status {
             200 => true,
@@ -206,52 +118,51 @@
         }
     }
 
+    /// Returns when the limiter is ready.
+    ///
+    /// # Panics
+    ///
+    /// Panics if the limiter is not ready within [`super::WAIT_TIMEOUT`].
     pub fn wait_until_ready(&self) {
         wait_for("readiness", || self.is_ready());
     }
 
-    /// Whether a line of the log that is no detail contains a text.
+    /// Returns whether a line of the log contains this text. Lines of the level `DEBUG` are ignored.
     pub fn has_logged(&self, text: &str) -> bool {
-        lock(&self.log).lines().any(|line| !line.contains(DETAIL_LEVEL) && line.contains(text))
+        self.log.contains(text)
     }
 
+    /// Returns when a line of the log contains this text. Lines of the level `DEBUG` are ignored.
+    ///
+    /// # Panics
+    ///
+    /// Panics if there is no such line within [`super::WAIT_TIMEOUT`].
     pub fn wait_until_logged(&self, text: &str) {
         wait_for(text, || self.has_logged(text));
     }
 
-    pub fn signal(&self, name: &str) {
-        send_signal(self.child.id(), name);
-    }
-
-    /// Waits for the end of the program.
-    pub fn wait_for_exit_code(&mut self) -> Option<i32> {
-        wait_for("the exit", || self.child.try_wait().expect("a child").is_some());
-        self.child.wait().expect("a child").code()
-    }
-
-    /// The most memory that the program has used.
+    /// Returns the largest resident memory that the process has had so far, in KiB.
+    ///
+    /// # Panics
+    ///
+    /// Panics if the process has exited.
     pub fn peak_memory_kb(&self) -> u64 {
-        // The shell that set the limit on descriptors has become the program, under the same id.
+        // The shell that set the limit on descriptors has become the limiter, with the same process id.
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id()));
-        let status = status.expect("the process has a status");
-        let line = status.lines().find_map(|line| line.strip_prefix("VmHWM:")).expect("its memory");
-        line.trim().trim_end_matches(" kB").parse().expect("a number")
+        let status = status.expect("the status of the process");
+        let peak = status.lines().find_map(|line| line.strip_prefix("VmHWM:"));
+        let peak = peak.expect("the peak memory of the process");
+        peak.trim().trim_end_matches(" kB").parse().expect("a number of KiB")
     }
 }
 
-/// Where the program listens, by its log.
-pub fn listening_address(log: &str) -> Option<&str> {
-    let (_, address) = log.lines().find_map(|line| line.split_once(LISTENING_LOG_PREFIX))?;
-    Some(address.trim())
-}
-
 impl Drop for LimiterProcess {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
         let _ = std::fs::remove_file(&self.configuration);
         if std::thread::panicking() {
-            eprintln!("log:\n{}", self.log.lock().map(|log| log.clone()).unwrap_or_default());
+            eprintln!("log:\n{}", self.log.text());
         }
     }
 }
--- a/limiter/tests/stubs/mod.rs
+++ b/limiter/tests/stubs/mod.rs
@@ -1,15 +1,22 @@
-//! Stand-ins for all that the program talks to, each in a module of its own, and the program itself as a process.
-// Each test file is a crate of its own and uses a part of this module.
+//! Stubs of the limiter's surroundings (clients, servers, discovery, a quota owner), and the limiter under
+//! test as a child process.
+//!
+//! Helpers panic if a step fails, so that the test that uses them fails at this step.
+
+// Each test file is a crate of its own and uses only a part of this module.
 #![allow(dead_code, unused_imports)]
 
 mod client;
 mod configuration;
 mod disconnecting_client;
 mod discovery;
+mod endpoint_list;
 mod gate;
 mod http;
 mod in_flight_request;
+mod limiter_command;
 mod limiter_process;
+mod process_log;
 mod quota_owner;
 mod server;
 mod server_with_full_backlog;
@@ -18,10 +25,13 @@
 pub use configuration::*;
 pub use disconnecting_client::*;
 pub use discovery::*;
+pub use endpoint_list::*;
 pub use gate::*;
 pub use http::*;
 pub use in_flight_request::*;
+pub use limiter_command::*;
 pub use limiter_process::*;
+pub use process_log::*;
 pub use quota_owner::*;
 pub use server::*;
 pub use server_with_full_backlog::*;
@@ -30,20 +40,30 @@
 use std::sync::{Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 
-/// What does not come within this time does not come.
+/// How long a test waits for an event before it fails. Far longer than any event takes, so that a busy
+/// machine fails no test.
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Waits until something holds; it is the only measure of time in most tests, and generous.
-pub fn wait_for(what: &str, mut holds: impl FnMut() -> bool) {
-    let began = Instant::now();
-    while !holds() {
-        assert!(began.elapsed() < WAIT_TIMEOUT, "waited in vain for {what}");
-        sleep_ms(10);
+/// Time between two checks of [`wait_for`], in milliseconds.
+const POLL_INTERVAL_MS: u64 = 10;
+
+/// Polls a condition and returns as soon as it is true.
+///
+/// # Panics
+///
+/// Panics if the condition is still false after [`WAIT_TIMEOUT`]. The message names `event`.
+pub fn wait_for(event: &str, mut has_occurred: impl FnMut() -> bool) {
+    let started_at = Instant::now();
+    while !has_occurred() {
+        assert!(started_at.elapsed() < WAIT_TIMEOUT, "timed out while waiting for {event}");
+        sleep_ms(POLL_INTERVAL_MS);
     }
 }
 
-/// Repeats a read for as long as it is interrupted: one with a time-out is, where the machine stops this process for a
-/// moment and lets it go on (signal(7)).
+/// Calls `read` until it is not interrupted, and returns its result.
+///
+/// A read with a timeout fails with `EINTR` if this process is stopped and continued during the call
+/// (signal(7)), which the machine may do at any time.
 pub fn retry_on_interrupt<T>(mut read: impl FnMut() -> Result<T>) -> Result<T> {
     loop {
         match read() {
@@ -53,10 +73,16 @@
     }
 }
 
+/// Blocks the calling thread for a time in milliseconds.
 pub fn sleep_ms(ms: u64) {
     std::thread::sleep(Duration::from_millis(ms));
 }
 
+/// Locks state that a stub shares with its threads.
+///
+/// # Panics
+///
+/// Panics if another thread panicked while it held the lock.
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
-    mutex.lock().expect("no test thread panicked with the lock")
+    mutex.lock().expect("no thread panicked while it held the lock")
 }
--- /dev/null
+++ b/limiter/tests/stubs/process_log.rs
@@ -0,0 +1,50 @@
+//! The log of the limiter under test.
+
+use std::io::{BufRead, BufReader};
+use std::process::ChildStderr;
+use std::sync::{Arc, Mutex};
+
+use super::lock;
+
+/// Text of the log line that tells the listening address, up to the address.
+pub const LISTENING_LOG_PREFIX: &str = "listening address=";
+
+/// The level of lines that a failed test shows, and that no test searches.
+const DETAIL_LEVEL: &str = " DEBUG ";
+
+/// The log of a process. It grows while the process runs.
+pub struct ProcessLog(Arc<Mutex<String>>);
+
+impl ProcessLog {
+    /// Starts a thread that reads the log of a process until the process exits.
+    pub fn read_from(stderr: ChildStderr) -> ProcessLog {
+        let log = Arc::new(Mutex::new(String::new()));
+        let written_log = log.clone();
+        std::thread::spawn(move || {
+            for line in BufReader::new(stderr).lines().map_while(Result::ok) {
+                lock(&written_log).push_str(&format!("{line}\n"));
+            }
+        });
+        ProcessLog(log)
+    }
+
+    /// Returns the text that was read so far. Empty if a thread panicked while it held the lock.
+    pub fn text(&self) -> String {
+        self.0.lock().map(|log| log.clone()).unwrap_or_default()
+    }
+
+    /// Returns whether a line contains this text. Lines of the level `DEBUG` are ignored.
+    ///
+    /// # Panics
+    ///
+    /// Panics if a thread panicked while it held the lock.
+    pub fn contains(&self, text: &str) -> bool {
+        lock(&self.0).lines().any(|line| !line.contains(DETAIL_LEVEL) && line.contains(text))
+    }
+}
+
+/// Returns the listening address that a log tells, or `None` if the process does not listen yet.
+pub fn listening_address(log: &str) -> Option<&str> {
+    let (_, address) = log.lines().find_map(|line| line.split_once(LISTENING_LOG_PREFIX))?;
+    Some(address.trim())
+}
--- a/limiter/tests/stubs/quota_owner.rs
+++ b/limiter/tests/stubs/quota_owner.rs
@@ -1,22 +1,50 @@
-//! A stub of a quota owner: a peer that the program asks for the units of a customer.
+//! A stub of a quota owner: a peer that the limiter under test asks for the units of a customer.
+//!
+//! The layout of messages is that of `limiter-core/src/gossip/codec.rs`: a header (magic number, checksum,
+//! incarnation, latency), then lines, each of which begins with its kind. Numbers are big endian.
 
 use std::net::{SocketAddr, UdpSocket};
 use std::ops::Range;
 use std::time::Duration;
 
-use super::{request_with_long_timeout, retry_on_interrupt, LimiterProcess, StubServer, DEFAULT_CUSTOMER};
+use super::{
+    allow_long_pending_requests, request_with_long_timeout, retry_on_interrupt, LimiterProcess, StubServer,
+    DEFAULT_CUSTOMER,
+};
 
-/// A customer whose quota owners are the limiters 1, 2 and 3 of a fleet of four, asked in this order.
+/// A customer whose quota is owned by the limiters 1, 2 and 3 of a fleet of four. A member asks them in this
+/// order.
 pub const CUSTOMER_OF_STUB_OWNER: &str = "00000000b4d65522";
 
-/// Layout of a gossip message, as in `limiter-core/src/gossip/codec.rs`: a header, then lines, each begun by its kind.
+/// Number of limiters in the fleet of the stub.
+const NUM_LIMITERS: usize = 4;
+/// Position of the stub among the limiters. The limiter under test has position 0.
+const OWNER_POSITION: usize = 1;
+/// How long [`StubQuotaOwner::receive`] waits for a message.
+const RECEIVE_TIMEOUT: Duration = Duration::from_millis(500);
+
+const MAGIC: u8 = 0xfd;
 const HEADER_BYTES: usize = 8;
 const MAX_MESSAGE_BYTES: usize = 256;
+/// Modulus of the checksum: the largest prime below 2^16.
+const CHECKSUM_MODULUS: u32 = 65_521;
+/// Value of the latency byte if there is no latency.
+const NO_LATENCY: u8 = 255;
+
 const KIND_QUOTA_REQUEST: u8 = 1;
 const KIND_GRANTED: u8 = 2;
 const KIND_NOT_GRANTED: u8 = 3;
 
-/// A gossip message with a line at least.
+/// Position of the checksum in a message.
+const CHECKSUM: Range<usize> = 1..3;
+/// Position of the sender's incarnation in a message.
+const INCARNATION: Range<usize> = 3..7;
+/// Position of the request id in a message whose first line is a quota request.
+const REQUEST_ID: Range<usize> = 9..13;
+/// Position of the customer (8 bytes) and the plan (1 byte) in a message whose first line is a quota request.
+const CUSTOMER_AND_PLAN: Range<usize> = 13..22;
+
+/// A gossip message that contains at least one line.
 pub struct GossipMessage(Vec<u8>);
 
 impl GossipMessage {
@@ -24,88 +52,139 @@
         self.0[HEADER_BYTES]
     }
 
+    /// Returns whether the first line is the reply to a quota request, granted or not.
     pub fn is_grant_reply(&self) -> bool {
         [KIND_GRANTED, KIND_NOT_GRANTED].contains(&self.first_kind())
     }
 }
 
-/// The limiter that the program asks first.
+/// The quota owner that the limiter under test asks first for [`CUSTOMER_OF_STUB_OWNER`].
 pub struct StubQuotaOwner {
     socket: UdpSocket,
+    /// Gossip address of the limiter under test.
     member: SocketAddr,
 }
 
-/// Starts the program as a member of a fleet of four where only the quota owner that it asks first is there; the
-/// others are silent. `quota` is that of the plan of all requests.
+/// Starts a limiter, in front of one server, as a member of a fleet of four, and the stub of a quota owner.
+/// The other two limiters do not exist. `quota` is that of the plan of all requests; see
+/// [`with_quota`](super::Configuration::with_quota). Returns when the limiter is ready.
+///
+/// # Panics
+///
+/// Panics if no port can be bound, or the limiter is not ready within [`super::WAIT_TIMEOUT`].
 pub fn start_with_quota_owner(server: &StubServer, quota: &str) -> (LimiterProcess, StubQuotaOwner) {
-    let sockets: Vec<UdpSocket> = (0..4).map(|_| UdpSocket::bind("127.0.0.1:0").expect("bind")).collect();
-    let addresses: Vec<SocketAddr> =
-        sockets.iter().map(|socket| socket.local_addr().expect("address")).collect();
-    // The others are closed: they are silent, and the first address is free for the member.
-    let socket = sockets.into_iter().nth(1).expect("four");
-    socket.set_read_timeout(Some(Duration::from_millis(500))).expect("time-out");
+    let mut sockets: Vec<UdpSocket> = Vec::new();
+    let mut addresses: Vec<SocketAddr> = Vec::new();
+    for _ in 0..NUM_LIMITERS {
+        let socket = UdpSocket::bind("127.0.0.1:0").expect("a socket");
+        addresses.push(socket.local_addr().expect("a local address"));
+        sockets.push(socket);
+    }
+    let socket = sockets.swap_remove(OWNER_POSITION);
+    // Closing the other sockets frees the address of the limiter under test. The two remaining peers stay
+    // silent.
+    drop(sockets);
+    socket.set_read_timeout(Some(RECEIVE_TIMEOUT)).expect("a read timeout");
     let limiter = LimiterProcess::with_server(server, |configuration| {
         let configuration = configuration.with_peers(&addresses).with_quota(quota);
-        configuration.with_long_latency_objective().with_rejecting_plan()
+        allow_long_pending_requests(configuration)
     });
     (limiter, StubQuotaOwner { socket, member: addresses[0] })
 }
 
-/// A request of a customer that all four limiters serve.
+/// Returns a request of a customer that all four limiters of the fleet serve. Its client waits 60 s.
 pub fn request_of_fleet_customer(id: &str, customer: &str) -> String {
     request_with_long_timeout(id).replace("spread=1", "spread=4").replace(DEFAULT_CUSTOMER, customer)
 }
 
 impl StubQuotaOwner {
-    /// The next message, if one comes soon.
+    /// Waits for a message, for 0.5 s at most. Returns `None` if there is none, or if it contains no line.
     pub fn receive(&self) -> Option<GossipMessage> {
         let mut buffer = [0; MAX_MESSAGE_BYTES];
         let length = retry_on_interrupt(|| self.socket.recv(&mut buffer)).ok()?;
-        (length > HEADER_BYTES).then(|| GossipMessage(buffer[..length].to_vec()))
+        if length > HEADER_BYTES {
+            Some(GossipMessage(buffer[..length].to_vec()))
+        } else {
+            None
+        }
     }
 
-    /// The next message, which must be a quota request.
+    /// Waits for a quota request, for 0.5 s at most, and returns it.
+    ///
+    /// # Panics
+    ///
+    /// Panics if there is no message, or if the next message is no quota request.
     pub fn receive_quota_request(&self) -> GossipMessage {
-        let is_quota_request = |message: &GossipMessage| message.first_kind() == KIND_QUOTA_REQUEST;
-        self.receive().filter(is_quota_request).expect("a quota request")
+        let message = self.receive().expect("a message");
+        assert_eq!(message.first_kind(), KIND_QUOTA_REQUEST, "the message is a quota request");
+        message
     }
 
-    /// Sends the grant for a quota request, and behind it a quota request to the member, whose reply shows that the
-    /// grant has been read.
+    /// Sends the grant for a quota request and, in the same message, a quota request to the member. The
+    /// member's reply to this request shows that the member has read the grant.
+    ///
+    /// # Panics
+    ///
+    /// Panics if the message cannot be sent.
     pub fn send_grant(&self, quota_request: &GossipMessage) {
-        assert!(self.socket.send_to(&grant(&quota_request.0), self.member).is_ok());
+        let message = encode_grant_and_quota_request(&quota_request.0);
+        self.socket.send_to(&message, self.member).expect("a sent message");
     }
 }
 
-/// Where the sender's incarnation stands in a message.
-const INCARNATION: Range<usize> = 3..7;
-/// Where the request's id stands in a message that is one quota request.
-const REQUEST_ID: Range<usize> = 9..13;
-/// Where the customer and the plan stand in it.
-const CUSTOMER_AND_PLAN: Range<usize> = 13..22;
-/// Modulus of the checksum: the largest prime below 2^16.
-const CHECKSUM_MODULUS: u32 = 65_521;
+fn encode_grant_and_quota_request(quota_request: &[u8]) -> Vec<u8> {
+    let mut message = vec![MAGIC, 0, 0];
+    let incarnation = 0_u32;
+    message.extend(incarnation.to_be_bytes());
+    message.push(NO_LATENCY);
+    append_grant(&mut message, quota_request);
+    append_quota_request(&mut message);
+    let checksum = checksum(&message).to_be_bytes();
+    message[CHECKSUM].copy_from_slice(&checksum);
+    message
+}
+
+/// Appends the grant for a quota request of the member.
+fn append_grant(message: &mut Vec<u8>, quota_request: &[u8]) {
+    let demand_ratio = 0_f32;
+    let tokens_left = 1_f32;
+    message.push(KIND_GRANTED);
+    message.extend(&quota_request[REQUEST_ID]);
+    message.extend(&quota_request[CUSTOMER_AND_PLAN]);
+    message.extend(&quota_request[INCARNATION]);
+    message.extend(demand_ratio.to_be_bytes());
+    message.extend(tokens_left.to_be_bytes());
+}
 
-fn grant(quota_request: &[u8]) -> Vec<u8> {
-    let (member_incarnation, id) = (&quota_request[INCARNATION], &quota_request[REQUEST_ID]);
-    let customer_and_plan = &quota_request[CUSTOMER_AND_PLAN];
-    let [no_units, one_unit] = [0f32.to_be_bytes(), 1f32.to_be_bytes()];
-    let grant =
-        [&[KIND_GRANTED][..], id, customer_and_plan, member_incarnation, &no_units, &one_unit].concat();
-    let (own_id, customer, plan, members) = ([0, 0, 0, 9], [0; 8], [1], [0, 0, 0, 1]);
-    let own_request =
-        [&[KIND_QUOTA_REQUEST][..], &own_id, &customer, &plan, &members, &one_unit, &no_units].concat();
-    let (magic_and_checksum, own_incarnation, no_latency) = ([0xfd, 0, 0], [0; 4], [255]);
-    let mut body = [&magic_and_checksum[..], &own_incarnation, &no_latency, &grant, &own_request].concat();
-    let checksum = checksum(&body).to_be_bytes();
-    body[1..3].copy_from_slice(&checksum);
-    body
+/// Appends a request for one unit of a customer whose only member is the limiter under test.
+fn append_quota_request(message: &mut Vec<u8>) {
+    let request_id = 9_u32;
+    let customer = 0_u64;
+    // Plan 0 is the rejecting plan, which precedes the plan of all requests.
+    let plan = 1_u8;
+    let first_member = 0_u16;
+    let member_count = 1_u16;
+    let units = 1_f32;
+    let unreported_units = 0_f32;
+    message.push(KIND_QUOTA_REQUEST);
+    message.extend(request_id.to_be_bytes());
+    message.extend(customer.to_be_bytes());
+    message.push(plan);
+    message.extend(first_member.to_be_bytes());
+    message.extend(member_count.to_be_bytes());
+    message.extend(units.to_be_bytes());
+    message.extend(unreported_units.to_be_bytes());
 }
 
-/// Sum over all bytes but the checksum's own, each times twice its one-based position plus one, modulo the largest
-/// prime below 2^16.
-fn checksum(body: &[u8]) -> u16 {
-    let counted = (1u32..).zip(body).filter(|(position, _)| ![2, 3].contains(position));
-    let sum: u32 = counted.map(|(position, byte)| u32::from(*byte) * (2 * position + 1)).sum();
+/// Returns the sum of all bytes but those of the checksum, each multiplied by `2 * position + 3`, modulo
+/// [`CHECKSUM_MODULUS`].
+fn checksum(message: &[u8]) -> u16 {
+    let mut sum: u32 = 0;
+    for (position, byte) in (0..).zip(message) {
+        let is_part_of_checksum = CHECKSUM.contains(&(position as usize));
+        if !is_part_of_checksum {
+            sum += u32::from(*byte) * (2 * position + 3);
+        }
+    }
     (sum % CHECKSUM_MODULUS) as u16
 }
--- a/limiter/tests/stubs/server.rs
+++ b/limiter/tests/stubs/server.rs
@@ -1,4 +1,4 @@
-//! A stub server, which records what it receives.
+//! A stub server that records the requests and connections that it receives.
 
 use std::io::Read;
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -7,50 +7,48 @@
 
 use super::{lock, read_message, sleep_ms, wait_for, write_ok, HttpMessage};
 
+/// What a server has received, shared with the threads of its connections.
 #[derive(Default)]
 struct Record {
-    received: Mutex<Vec<HttpMessage>>,
+    requests: Mutex<Vec<HttpMessage>>,
     num_connections: AtomicUsize,
-    num_open: AtomicUsize,
-    max_open: AtomicUsize,
-    num_closed: AtomicUsize,
+    num_open_connections: AtomicUsize,
+    max_open_connections: AtomicUsize,
+    num_closed_connections: AtomicUsize,
     stops_listening: AtomicBool,
 }
 
-/// A server that answers as a closure says.
+/// A server whose responses are given by a closure. It serves each connection in a thread, until the test
+/// exits.
 pub struct StubServer {
+    /// Address at which the server listens.
     pub addr: SocketAddr,
     record: Arc<Record>,
 }
 
 impl StubServer {
-    /// `respond` answers each request on its connection; false ends the connection.
+    /// Starts a server. `respond` answers each request on its connection, and returns whether the connection
+    /// stays open.
+    ///
+    /// # Panics
+    ///
+    /// Panics if no port can be bound.
     pub fn new(respond: impl Fn(&HttpMessage, &mut TcpStream) -> bool + Send + Sync + 'static) -> StubServer {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("bind");
-        let addr = listener.local_addr().expect("address");
-        let (record, respond) = (Arc::new(Record::default()), Arc::new(respond));
+        let listener = TcpListener::bind("127.0.0.1:0").expect("a listener");
+        let addr = listener.local_addr().expect("a local address");
+        let record = Arc::new(Record::default());
         let server = StubServer { addr, record: record.clone() };
-        std::thread::spawn(move || {
-            for stream in listener.incoming() {
-                if record.stops_listening.load(Ordering::SeqCst) {
-                    return;
-                }
-                let Ok(stream) = stream else { continue };
-                record.open_connection();
-                let (record, respond) = (record.clone(), respond.clone());
-                std::thread::spawn(move || record.serve(stream, &*respond));
-            }
-        });
+        std::thread::spawn(move || accept_connections(&listener, &record, &Arc::new(respond)));
         server
     }
 
-    /// Answers each request with the same body.
+    /// Starts a server that answers each request with status 200 and this body.
     pub fn responding_with(body: &str) -> StubServer {
         let body = body.to_string();
         StubServer::new(move |_, stream| write_ok(stream, &body))
     }
 
-    /// Answers each request with the same body, after a time.
+    /// Starts a server that answers each request after a time, with status 200 and this body.
     pub fn responding_after_ms(ms: u64, body: &'static str) -> StubServer {
         StubServer::new(move |_, stream| {
             sleep_ms(ms);
@@ -58,71 +56,97 @@
         })
     }
 
-    /// Answers each request with its own body.
+    /// Starts a server that answers each request with status 200 and the body of the request.
     pub fn echoing() -> StubServer {
         StubServer::new(|request, stream| write_ok(stream, &request.body))
     }
 
-    /// Takes requests and says nothing.
+    /// Starts a server that receives requests and never responds.
     pub fn unresponsive() -> StubServer {
         StubServer::new(|_, stream| ignore_until_closed(stream))
     }
 
+    /// Returns all requests that were received so far, in their order.
     pub fn received_requests(&self) -> Vec<HttpMessage> {
-        lock(&self.record.received).clone()
+        lock(&self.record.requests).clone()
     }
 
+    /// Returns the number of requests that were received so far.
     pub fn num_received(&self) -> usize {
-        lock(&self.record.received).len()
+        lock(&self.record.requests).len()
     }
 
-    /// How often a request with this id came.
+    /// Returns the number of requests with this correlation id that were received so far.
     pub fn num_received_with_id(&self, id: &str) -> usize {
-        lock(&self.record.received).iter().filter(|request| request.correlation_id() == id).count()
+        lock(&self.record.requests).iter().filter(|request| request.correlation_id() == id).count()
     }
 
+    /// Returns the number of connections that were accepted so far.
     pub fn num_connections(&self) -> usize {
         self.record.num_connections.load(Ordering::SeqCst)
     }
 
-    /// The most connections that were open at once.
+    /// Returns the largest number of connections that were open at the same time.
     pub fn max_open_connections(&self) -> usize {
-        self.record.max_open.load(Ordering::SeqCst)
+        self.record.max_open_connections.load(Ordering::SeqCst)
     }
 
-    /// Connections that have ended, by either side.
+    /// Returns the number of connections that either side has closed so far.
     pub fn num_closed_connections(&self) -> usize {
-        self.record.num_closed.load(Ordering::SeqCst)
+        self.record.num_closed_connections.load(Ordering::SeqCst)
     }
 
-    /// Returns when connections are refused.
+    /// Closes the listener. Returns when connections are refused.
+    ///
+    /// # Panics
+    ///
+    /// Panics if connections are still accepted after [`super::WAIT_TIMEOUT`].
     pub fn stop_listening(&self) {
         self.record.stops_listening.store(true, Ordering::SeqCst);
+        // The listener sees the flag after its next accept, for which these connects provide.
         wait_for("the listener to close", || TcpStream::connect(self.addr).is_err());
     }
 }
 
+/// Accepts connections until the server stops listening, and serves each of them in a thread.
+fn accept_connections<R>(listener: &TcpListener, record: &Arc<Record>, respond: &Arc<R>)
+where
+    R: Fn(&HttpMessage, &mut TcpStream) -> bool + Send + Sync + 'static,
+{
+    for stream in listener.incoming() {
+        if record.stops_listening.load(Ordering::SeqCst) {
+            return;
+        }
+        let Ok(stream) = stream else { continue };
+        record.open_connection();
+        let record = record.clone();
+        let respond = respond.clone();
+        std::thread::spawn(move || record.serve(stream, &*respond));
+    }
+}
+
 impl Record {
     fn open_connection(&self) {
         self.num_connections.fetch_add(1, Ordering::SeqCst);
-        let num_open = self.num_open.fetch_add(1, Ordering::SeqCst) + 1;
-        self.max_open.fetch_max(num_open, Ordering::SeqCst);
+        let num_open = self.num_open_connections.fetch_add(1, Ordering::SeqCst) + 1;
+        self.max_open_connections.fetch_max(num_open, Ordering::SeqCst);
     }
 
-    /// Answers the requests of one connection, one after the other, until either side ends it.
+    /// Answers the requests of one connection, one after another, until either side closes the connection.
     fn serve(&self, mut stream: TcpStream, respond: &impl Fn(&HttpMessage, &mut TcpStream) -> bool) {
         while let Ok(request) = read_message(&mut stream) {
-            lock(&self.received).push(request.clone());
+            lock(&self.requests).push(request.clone());
             if !respond(&request, &mut stream) {
                 break;
             }
         }
-        self.num_closed.fetch_add(1, Ordering::SeqCst);
-        self.num_open.fetch_sub(1, Ordering::SeqCst);
+        self.num_closed_connections.fetch_add(1, Ordering::SeqCst);
+        self.num_open_connections.fetch_sub(1, Ordering::SeqCst);
     }
 }
 
-/// Says nothing until the client closes the connection; false, so that it ends here too.
+/// Reads and discards all bytes until the limiter closes the connection, without a response. Returns false,
+/// so that a stub server closes the connection as well.
 pub fn ignore_until_closed(stream: &mut TcpStream) -> bool {
     while stream.read(&mut [0; 64]).is_ok_and(|length| length > 0) {}
     false
--- a/limiter/tests/stubs/server_with_full_backlog.rs
+++ b/limiter/tests/stubs/server_with_full_backlog.rs
@@ -1,4 +1,4 @@
-//! A stub server whose connections come up late.
+//! A stub server on which connections are established only when the test says so.
 
 use std::io::Read;
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -7,68 +7,103 @@
 
 use super::{lock, wait_for, write_ok};
 
-/// A server whose connections do not come up: its backlog is full until it accepts.
+/// The body of each response of the server.
+const RESPONSE_BODY: &str = "late";
+/// A connect that takes longer than this shows that the backlog is full.
+const BACKLOG_CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
+
+/// A server whose backlog is full. Until the server accepts, the kernel ignores the first segment of each
+/// further connect, which the limiter's kernel sends again after 1 s, 2 s and 4 s.
 pub struct ServerWithFullBacklog {
+    /// Address at which the server listens.
     pub addr: SocketAddr,
     listener: TcpListener,
+    /// Connections of the test that fill the backlog.
     backlog: Vec<TcpStream>,
 }
 
 impl ServerWithFullBacklog {
+    /// Starts a server and fills its backlog. Returns when a further connect has timed out.
+    ///
+    /// # Panics
+    ///
+    /// Panics if no port can be bound.
     pub fn new() -> ServerWithFullBacklog {
-        let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
-        let listener = runtime.block_on(async {
-            let socket = tokio::net::TcpSocket::new_v4().expect("a socket");
-            socket.bind("127.0.0.1:0".parse().expect("an address")).expect("bind");
-            socket.listen(1).expect("listen").into_std().expect("a listener")
-        });
-        listener.set_nonblocking(false).expect("blocking");
-        let addr = listener.local_addr().expect("address");
+        let listener = listener_with_smallest_backlog();
+        let addr = listener.local_addr().expect("a local address");
         let mut backlog = Vec::new();
-        while let Ok(stream) = TcpStream::connect_timeout(&addr, Duration::from_millis(300)) {
+        while let Ok(stream) = TcpStream::connect_timeout(&addr, BACKLOG_CONNECT_TIMEOUT) {
             backlog.push(stream);
         }
         ServerWithFullBacklog { addr, listener, backlog }
     }
 
-    /// Lets connections come up, and responds.
+    /// Closes the connections that fill the backlog, and starts to accept connections and to answer their
+    /// requests. Returns immediately.
     pub fn accept_all(self) -> LateConnections {
         let carried_request = Arc::new(Mutex::new(Vec::new()));
-        let late = LateConnections { num_in_backlog: self.backlog.len(), carried_request };
-        let carried_request = late.carried_request.clone();
+        let late_connections =
+            LateConnections { num_in_backlog: self.backlog.len(), carried_request: carried_request.clone() };
         drop(self.backlog);
-        std::thread::spawn(move || {
-            for stream in self.listener.incoming() {
-                let (Ok(stream), carried_request) = (stream, carried_request.clone()) else { continue };
-                std::thread::spawn(move || serve(stream, &carried_request));
-            }
-        });
-        late
+        std::thread::spawn(move || accept_connections(&self.listener, &carried_request));
+        late_connections
+    }
+}
+
+/// Returns a listener with a backlog of one connection. The standard library cannot set the length of a
+/// backlog.
+fn listener_with_smallest_backlog() -> TcpListener {
+    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+    let listener = runtime.block_on(async {
+        let socket = tokio::net::TcpSocket::new_v4().expect("a socket");
+        socket.bind("127.0.0.1:0".parse().expect("an address")).expect("a bound socket");
+        socket.listen(1).expect("a listener").into_std().expect("a listener without a runtime")
+    });
+    listener.set_nonblocking(false).expect("blocking mode");
+    listener
+}
+
+fn accept_connections(listener: &TcpListener, carried_request: &Arc<Mutex<Vec<bool>>>) {
+    for stream in listener.incoming() {
+        let Ok(stream) = stream else { continue };
+        let carried_request = carried_request.clone();
+        std::thread::spawn(move || serve(stream, &carried_request));
     }
 }
 
-/// Responds to each request; notes of the connection whether it carries a request at all.
+/// Answers each request of a connection. Records whether the connection carried a request, when the first
+/// request or the end of the connection is read.
 fn serve(mut stream: TcpStream, carried_request: &Mutex<Vec<bool>>) {
-    let mut buffer = [0; 4096];
-    let mut reads_request =
-        move |stream: &mut TcpStream| stream.read(&mut buffer).is_ok_and(|length| length > 0);
-    let mut has_request = reads_request(&mut stream);
+    let mut has_request = receive(&mut stream);
     lock(carried_request).push(has_request);
     while has_request {
-        write_ok(&mut stream, "late");
-        has_request = reads_request(&mut stream);
+        write_ok(&mut stream, RESPONSE_BODY);
+        has_request = receive(&mut stream);
     }
 }
 
-/// The connections that have come up at last, those of the backlog among them.
+/// Waits for a request, which is expected to be received by one read. Returns false if the connection is
+/// closed.
+fn receive(stream: &mut TcpStream) -> bool {
+    let mut buffer = [0; 4096];
+    stream.read(&mut buffer).is_ok_and(|length| length > 0)
+}
+
+/// The connections that were established after [`ServerWithFullBacklog::accept_all`], and those that filled
+/// the backlog.
 pub struct LateConnections {
     num_in_backlog: usize,
-    /// Of each connection: whether a request came on it, or its end.
+    /// For each connection on which a request or the end was read: whether it was a request.
     carried_request: Arc<Mutex<Vec<bool>>>,
 }
 
 impl LateConnections {
-    /// Connections of the program, once a request or the end has come on each.
+    /// Returns when a request or the end was read on `count` connections of the limiter, and on all those
+    /// that filled the backlog.
+    ///
+    /// # Panics
+    ///
+    /// Panics if there are fewer connections, or more, after [`super::WAIT_TIMEOUT`].
     pub fn wait_for_count(&self, count: usize) {
         wait_for("the late connections", || self.num_all() == self.num_in_backlog + count);
     }
@@ -77,12 +112,18 @@
         lock(&self.carried_request).len()
     }
 
-    /// Connections of the program; to be asked after [`Self::wait_for_count`].
+    /// Returns the number of connections of the limiter on which a request or the end was read.
+    ///
+    /// # Panics
+    ///
+    /// Panics if a connection that filled the backlog is still to be read, which [`Self::wait_for_count`]
+    /// excludes.
     pub fn count(&self) -> usize {
         self.num_all() - self.num_in_backlog
     }
 
+    /// Returns the number of connections of the limiter on which a request was read.
     pub fn num_with_request(&self) -> usize {
-        lock(&self.carried_request).iter().filter(|carried| **carried).count()
+        lock(&self.carried_request).iter().filter(|carried_request| **carried_request).count()
     }
 }
