--- a/limiter/tests/attempts.rs
+++ b/limiter/tests/attempts.rs
@@ -1,4 +1,5 @@
-//! What the outcome of an attempt proves: whether the request may have run, and what its client is told.
+//! What the outcome of an attempt proves: whether a server may have executed the request, and
+//! which status the client receives.
 
 mod stubs;
 
@@ -8,22 +9,37 @@
 
 use stubs::*;
 
-/// 503 and 504 prove that nothing ran only with the mark; without it a request with a key must end as failed.
+/// The header of a server's response, and the status that the client receives as a result.
+struct RejectionCase {
+    header: &'static str,
+    expected_status: u16,
+}
+
+const REJECTION_CASES: [RejectionCase; 3] = [
+    RejectionCase { header: "X-Unprocessed: 1\r\n", expected_status: 429 },
+    RejectionCase { header: "", expected_status: 502 },
+    RejectionCase { header: "X-Unprocessed: 0\r\n", expected_status: 502 },
+];
+
+/// A server answers a request with an idempotency key with 503 or 504. Only with `X-Unprocessed: 1` do these
+/// prove that the request was not executed, so that the client receives 429 and may retry safely. Without the
+/// header the request may have been executed, and must fail with 502.
 #[test]
 fn a_rejection_counts_as_not_executed_only_with_the_unprocessed_header() {
-    for (mark, expected) in [("X-Unprocessed: 1\r\n", 429), ("", 502), ("X-Unprocessed: 0\r\n", 502)] {
+    for RejectionCase { header, expected_status } in REJECTION_CASES {
         for status_line in ["503 Busy", "504 Late"] {
             let server = StubServer::new(move |_, stream| {
-                write!(stream, "HTTP/1.1 {status_line}\r\n{mark}Content-Length: 0\r\n\r\n").is_ok()
+                write!(stream, "HTTP/1.1 {status_line}\r\n{header}Content-Length: 0\r\n\r\n").is_ok()
             });
             let limiter = LimiterProcess::in_front_of(&server);
             let response = limiter.request(&request_with_key("k", "x"));
-            assert_eq!(response.status, expected, "{status_line} {mark}");
+            assert_eq!(response.status, expected_status, "{status_line} {header}");
         }
     }
 }
 
-/// A refused connection proves that nothing ran: the client is told that a retry is safe.
+/// The only server refuses connections. This proves that no server executed the request, so that the client
+/// receives 429 and may retry safely.
 #[test]
 fn a_request_is_rejected_if_its_server_refuses_connections() {
     let server = StubServer::new(|_, _| false);
@@ -33,30 +49,33 @@
     assert_eq!(limiter.request(&request_with_key("k", "x")).status, 429);
 }
 
-/// A server that takes a request and says nothing: one final response before the deadline, and the attempt's
-/// connection is closed, not pooled.
+/// A server accepts requests and never responds. The client, which waits 0.6 s, receives one final response
+/// in time. Attempts follow one another, as two at the same time might both be executed, and the connection
+/// of each attempt is closed and not pooled, as its response may still arrive.
 #[test]
-fn a_request_at_an_unresponsive_server_is_retried_before_its_deadline() {
+fn attempts_at_an_unresponsive_server_are_closed_and_never_overlap() {
     let server = StubServer::unresponsive();
     let limiter = LimiterProcess::in_front_of(&server);
-    let began = Instant::now();
     let request = request_with_key("k", "x").replace("X-Time-Left: 3.0", "X-Time-Left: 0.6");
-    assert_eq!(limiter.request(&request).status, 502, "it may have run");
-    assert!(began.elapsed() < Duration::from_millis(1500), "{:?}", began.elapsed());
-    wait_for("the attempts to be closed", || server.num_closed_connections() == server.num_connections());
-    assert!(server.max_open_connections() == 1, "never two attempts at once");
+    let started_at = Instant::now();
+    let response = limiter.request(&request);
+    let elapsed = started_at.elapsed();
+    assert_eq!(response.status, 502, "the request may have been executed");
+    assert!(elapsed < Duration::from_millis(1500), "the response took {elapsed:?}");
+    wait_for("all attempts to be closed", || server.num_closed_connections() == server.num_connections());
+    assert_eq!(server.max_open_connections(), 1, "two attempts overlapped");
 }
 
-/// The process gets no processor time while a response comes and the request's objective passes: what has come is read
-/// before timers decide.
+/// The process is stopped while a response arrives and the latency objective of its request ends. When the
+/// process continues, bytes that have arrived are read before timers fire, so that the response is used.
 #[test]
 fn a_response_that_arrived_during_a_stall_is_used() {
     let server = StubServer::responding_after_ms(300, "fine");
     let limiter = LimiterProcess::in_front_of(&server);
     let mut client = limiter.send(&idempotent_request());
-    wait_for("the attempt", || server.num_received() == 1);
+    wait_for("the attempt to reach the server", || server.num_received() == 1);
     limiter.signal("STOP");
-    // The latency objective of 1 s passes, and a later response would have no value.
+    // The latency objective of 1 s ends during this time. A response after the objective has no value.
     sleep_ms(1300);
     limiter.signal("CONT");
     assert_eq!(read_response(&mut client).status, 200);
--- a/limiter/tests/http_front_end.rs
+++ b/limiter/tests/http_front_end.rs
@@ -118,7 +118,7 @@
 #[test]
 fn pipelined_requests_are_answered_in_order() {
     let server = StubServer::echoing();
-    let (limiter, mut client) = start_with_queued_request();
+    let QueuedRequest { limiter, mut client } = QueuedRequest::start();
     for n in 0..20 {
         let request = request_with_key(&format!("k{n}"), &format!("body {n}"));
         client.write_all(request.as_bytes()).expect("write");
--- a/limiter/tests/stubs/configuration.rs
+++ b/limiter/tests/stubs/configuration.rs
@@ -71,8 +71,8 @@
         self.replace(plans, &format!("{plans}{rejecting_plan}"))
     }
 
-    /// Sets the quota of the plan of all requests, in JSON: the keys `Rate` and `StoreSize`, and others as
-    /// needed.
+    /// Sets the quota of the plan of all requests, in JSON: the keys `Rate` and
+    /// `StoreSize`, and others as needed.
     pub fn with_quota(self, quota: &str) -> Configuration {
         self.replace(r#""Rate":0,"StoreSize":0"#, quota)
     }
@@ -113,8 +113,8 @@
         self.replace(r#""Position":0"#, &format!("\"Position\":{position}"))
     }
 
-    /// Sets the number of descriptors that the limiter plans to use. The operating system's limit does not
-    /// change.
+    /// Sets the number of descriptors that the limiter plans to use. The operating
+    /// system's limit does not change.
     pub fn with_max_descriptors(self, descriptors: u32) -> Configuration {
         self.replace(r#""sockets":1024"#, &format!("\"sockets\":{descriptors}"))
     }
--- a/limiter/tests/stubs/disconnecting_client.rs
+++ b/limiter/tests/stubs/disconnecting_client.rs
@@ -1,5 +1,5 @@
-//! Clients that disconnect while their request is pending, and the requests that servers receive
-//! nevertheless.
+//! Clients that disconnect while their request is pending, and the requests that
+//! servers receive nevertheless.
 
 use std::io::Write;
 use std::net::TcpStream;
@@ -28,6 +28,19 @@
     DisconnectsDuringStall,
 }
 
+impl ClientBehaviour {
+    /// All behaviours.
+    pub const ALL: [ClientBehaviour; 3] = [
+        ClientBehaviour::StaysConnected,
+        ClientBehaviour::DisconnectsBeforeEvent,
+        ClientBehaviour::DisconnectsDuringStall,
+    ];
+
+    /// All behaviours of a client that disconnects.
+    pub const DISCONNECTS: [ClientBehaviour; 2] =
+        [ClientBehaviour::DisconnectsBeforeEvent, ClientBehaviour::DisconnectsDuringStall];
+}
+
 /// Changes the configuration so that a request may stay pending until its client times out, and adds the plan
 /// that [`has_pending_request`] needs.
 pub fn allow_long_pending_requests(configuration: Configuration) -> Configuration {
@@ -47,16 +60,25 @@
     limiter.request(&duplicate).status == 409
 }
 
-/// Starts a limiter without servers, and sends the request `c-1`. Returns when the request is queued, with
-/// the connection of its client.
-///
-/// # Panics
-///
-/// Panics as [`send_and_wait_until_pending`] does.
-pub fn start_with_queued_request() -> (LimiterProcess, TcpStream) {
-    let limiter = LimiterProcess::with_endpoints(&[], allow_long_pending_requests);
-    let client = send_and_wait_until_pending(&limiter);
-    (limiter, client)
+/// A limiter without servers, and a client whose request `c-1` is queued in the limiter.
+pub struct QueuedRequest {
+    /// The limiter. Its configuration is that of [`allow_long_pending_requests`].
+    pub limiter: LimiterProcess,
+    /// The connection on which the request was sent.
+    pub client: TcpStream,
+}
+
+impl QueuedRequest {
+    /// Starts a limiter and sends the request. Returns when the request is queued.
+    ///
+    /// # Panics
+    ///
+    /// Panics as [`send_and_wait_until_pending`] does.
+    pub fn start() -> QueuedRequest {
+        let limiter = LimiterProcess::with_endpoints(&[], allow_long_pending_requests);
+        let client = send_and_wait_until_pending(&limiter);
+        QueuedRequest { limiter, client }
+    }
 }
 
 /// Sends the request `c-1` and returns when the request is pending, with the connection of its client. The
@@ -80,8 +102,8 @@
     wait_for("the request to be pending", || has_pending_request(limiter));
 }
 
-/// Returns when the request `c-1` is no longer pending because the limiter has detected that its client
-/// disconnected.
+/// Returns when the request `c-1` is no longer pending because the limiter has
+/// detected that its client disconnected.
 ///
 /// # Panics
 ///
@@ -90,6 +112,31 @@
     wait_for("the disconnect to be detected", || !has_pending_request(limiter));
 }
 
+/// What the client of the request `c-1` and the servers have received when a limiter has exited.
+#[derive(Debug, PartialEq)]
+pub struct RaceOutcome {
+    /// Status of the response to the request `c-1`. `None` if its client disconnected.
+    pub client_status: Option<u16>,
+    /// Correlation ids of all requests that the servers received, sorted.
+    pub received_ids: Vec<String>,
+}
+
+impl RaceOutcome {
+    /// Returns the outcome if the client stays connected and the request is served.
+    pub fn served(received_ids: &[&str]) -> RaceOutcome {
+        RaceOutcome { client_status: Some(200), received_ids: to_strings(received_ids) }
+    }
+
+    /// Returns the outcome if the client disconnects.
+    pub fn disconnected(received_ids: &[&str]) -> RaceOutcome {
+        RaceOutcome { client_status: None, received_ids: to_strings(received_ids) }
+    }
+}
+
+fn to_strings(ids: &[&str]) -> Vec<String> {
+    ids.iter().map(ToString::to_string).collect()
+}
+
 /// Has the client of the request `c-1` behave as told, and triggers the event. Returns the status of the
 /// response if the client stays connected, and `None` otherwise.
 ///
@@ -126,8 +173,8 @@
     }
 }
 
-/// Shuts the limiter down, and returns the correlation ids of all requests that the servers have received,
-/// sorted.
+/// Shuts the limiter down, and returns the correlation ids of all requests that the
+/// servers have received, sorted.
 ///
 /// # Panics
 ///
--- a/limiter/tests/stubs/limiter_process.rs
+++ b/limiter/tests/stubs/limiter_process.rs
@@ -8,14 +8,14 @@
 use std::process::Child;
 
 use super::{
-    send_and_receive, send_signal, wait_for, Configuration, HttpMessage, ProcessLog, StubDiscovery,
-    READINESS_REQUEST,
+    idempotent_request, send_and_receive, send_signal, wait_for, Configuration, HttpMessage, ProcessLog,
+    StubDiscovery, READINESS_REQUEST,
 };
 
 pub use start::FailedStart;
 
-/// A running limiter with a stub of discovery. Dropping it kills the process; a test that fails prints the
-/// log.
+/// A running limiter with a stub of discovery. Dropping it kills the process; a
+/// test that fails prints the log.
 pub struct LimiterProcess {
     /// Address at which the limiter accepts clients.
     pub addr: SocketAddr,
@@ -101,6 +101,18 @@
     pub fn request(&self, request: &str) -> HttpMessage {
         send_and_receive(&mut self.connect(), request)
     }
+
+    /// Sends idempotent requests, one after another, and asserts that each of
+    /// them is answered with this body.
+    ///
+    /// # Panics
+    ///
+    /// Panics if a response has another body, and as [`LimiterProcess::request`] does.
+    pub fn assert_responses(&self, body: &str, num_requests: usize) {
+        for _ in 0..num_requests {
+            assert_eq!(self.request(&idempotent_request()).body, body);
+        }
+    }
 }
 
 /// What a test observes of the limiter.
--- a/limiter/tests/stubs/quota_owner.rs
+++ b/limiter/tests/stubs/quota_owner.rs
@@ -12,13 +12,15 @@
     DEFAULT_CUSTOMER,
 };
 
-/// A customer whose quota is owned by the limiters 1, 2 and 3 of a fleet of four. A member asks them in this
-/// order.
+/// A customer whose quota is owned by the limiters 1, 2 and 3 of a fleet of four. A
+/// member asks them in this order.
 pub const CUSTOMER_OF_STUB_OWNER: &str = "00000000b4d65522";
 
 /// Number of limiters in the fleet of the stub.
 const NUM_LIMITERS: usize = 4;
-/// Position of the stub among the limiters. The limiter under test has position 0.
+/// Position of the limiter under test among the limiters.
+const MEMBER_POSITION: usize = 0;
+/// Position of the stub among the limiters.
 const OWNER_POSITION: usize = 1;
 /// How long [`StubQuotaOwner::receive`] waits for a message.
 const RECEIVE_TIMEOUT: Duration = Duration::from_millis(500);
@@ -65,31 +67,42 @@
     member: SocketAddr,
 }
 
-/// Starts a limiter, in front of one server, as a member of a fleet of four, and the stub of a quota owner.
-/// The other two limiters do not exist. `quota` is that of the plan of all requests; see
-/// [`with_quota`](super::Configuration::with_quota). Returns when the limiter is ready.
-///
-/// # Panics
-///
-/// Panics if no port can be bound, or the limiter is not ready within [`super::WAIT_TIMEOUT`].
-pub fn start_with_quota_owner(server: &StubServer, quota: &str) -> (LimiterProcess, StubQuotaOwner) {
-    let mut sockets: Vec<UdpSocket> = Vec::new();
-    let mut addresses: Vec<SocketAddr> = Vec::new();
-    for _ in 0..NUM_LIMITERS {
-        let socket = UdpSocket::bind("127.0.0.1:0").expect("a socket");
-        addresses.push(socket.local_addr().expect("a local address"));
-        sockets.push(socket);
+/// A limiter that is a member of a fleet of four, and the stub of the quota owner that the limiter asks
+/// first. The other two limiters do not exist.
+pub struct MemberWithQuotaOwner {
+    /// The limiter. Its configuration is that of [`allow_long_pending_requests`].
+    pub limiter: LimiterProcess,
+    /// The stub of the quota owner.
+    pub quota_owner: StubQuotaOwner,
+}
+
+impl MemberWithQuotaOwner {
+    /// Starts the limiter in front of one server, and the stub. `quota` is that of the plan of all requests;
+    /// see [`with_quota`](super::Configuration::with_quota). Returns when the limiter is ready.
+    ///
+    /// # Panics
+    ///
+    /// Panics if no port can be bound, or the limiter is not ready within [`super::WAIT_TIMEOUT`].
+    pub fn start(server: &StubServer, quota: &str) -> MemberWithQuotaOwner {
+        let mut sockets: Vec<UdpSocket> = Vec::new();
+        let mut addresses: Vec<SocketAddr> = Vec::new();
+        for _ in 0..NUM_LIMITERS {
+            let socket = UdpSocket::bind("127.0.0.1:0").expect("a socket");
+            addresses.push(socket.local_addr().expect("a local address"));
+            sockets.push(socket);
+        }
+        let socket = sockets.swap_remove(OWNER_POSITION);
+        // Closing the other sockets frees the address of the limiter under test. The
+        // two remaining peers stay silent.
+        drop(sockets);
+        socket.set_read_timeout(Some(RECEIVE_TIMEOUT)).expect("a read timeout");
+        let limiter = LimiterProcess::with_server(server, |configuration| {
+            let configuration = configuration.with_peers(&addresses).with_quota(quota);
+            allow_long_pending_requests(configuration)
+        });
+        let quota_owner = StubQuotaOwner { socket, member: addresses[MEMBER_POSITION] };
+        MemberWithQuotaOwner { limiter, quota_owner }
     }
-    let socket = sockets.swap_remove(OWNER_POSITION);
-    // Closing the other sockets frees the address of the limiter under test. The two remaining peers stay
-    // silent.
-    drop(sockets);
-    socket.set_read_timeout(Some(RECEIVE_TIMEOUT)).expect("a read timeout");
-    let limiter = LimiterProcess::with_server(server, |configuration| {
-        let configuration = configuration.with_peers(&addresses).with_quota(quota);
-        allow_long_pending_requests(configuration)
-    });
-    (limiter, StubQuotaOwner { socket, member: addresses[0] })
 }
 
 /// Returns a request of a customer that all four limiters of the fleet serve. Its client waits 60 s.
@@ -176,8 +189,8 @@
     message.extend(unreported_units.to_be_bytes());
 }
 
-/// Returns the sum of all bytes but those of the checksum, each multiplied by `2 * position + 3`, modulo
-/// [`CHECKSUM_MODULUS`].
+/// Returns the sum of all bytes but those of the checksum, each multiplied by `2 * position +
+/// 3`, modulo [`CHECKSUM_MODULUS`].
 fn checksum(message: &[u8]) -> u16 {
     let mut sum: u32 = 0;
     for (position, byte) in (0..).zip(message) {
--- a/limiter/tests/stubs/server.rs
+++ b/limiter/tests/stubs/server.rs
@@ -18,8 +18,8 @@
     stops_listening: AtomicBool,
 }
 
-/// A server whose responses are given by a closure. It serves each connection in a thread, until the test
-/// exits.
+/// A server whose responses are given by a closure. It serves each connection in
+/// a thread, until the test exits.
 pub struct StubServer {
     /// Address at which the server listens.
     pub addr: SocketAddr,
@@ -27,8 +27,8 @@
 }
 
 impl StubServer {
-    /// Starts a server. `respond` answers each request on its connection, and returns whether the connection
-    /// stays open.
+    /// Starts a server. `respond` answers each request on its connection, and returns
+    /// whether the connection stays open.
     ///
     /// # Panics
     ///
@@ -96,6 +96,22 @@
         self.record.num_closed_connections.load(Ordering::SeqCst)
     }
 
+    /// Performs an action and asserts that the server receives no request before the action returns.
+    ///
+    /// # Panics
+    ///
+    /// Panics if the server receives a request.
+    pub fn assert_receives_nothing_during(&self, action: impl FnOnce()) {
+        let num_received_before = self.num_received();
+        action();
+        assert_eq!(
+            self.num_received(),
+            num_received_before,
+            "the server at {} received a request",
+            self.addr
+        );
+    }
+
     /// Closes the listener. Returns when connections are refused.
     ///
     /// # Panics
