--- a/limiter/tests/attempts.rs
+++ b/limiter/tests/attempts.rs
@@ -1,5 +1,5 @@
-//! What the outcome of an attempt proves: whether a server may have executed the request, and
-//! which status the client receives.
+//! What the outcome of an attempt proves: whether a server may have executed the request, and which
+//! status the client receives.
 
 mod stubs;
 
--- a/limiter/tests/client_disconnects.rs
+++ b/limiter/tests/client_disconnects.rs
@@ -23,8 +23,8 @@
     }
 }
 
-/// Returns how servers respond that answer each request with 200, except the first one: a server waits at the
-/// gate, and `respond_first` answers.
+/// Returns the closure of stub servers that answer each request with 200, except the first one. The first
+/// request waits at the gate and is answered by `respond_first`.
 fn respond_first_at_gate(
     gate: &Gate,
     respond_first: impl Fn(&mut TcpStream) -> bool + Send + Sync + 'static,
@@ -55,7 +55,7 @@
     let disconnecting_client = limiter.send(&request_with_key("k1", "slow"));
     wait_for("the request to arrive", || server.num_received() == 1);
     drop(disconnecting_client);
-    // The requests of other clients go on until after the late response.
+    // Requests of other clients follow for 0.5 s, so that the late response arrives among them.
     for n in 0..10 {
         let body = format!("fast{n}");
         let response = limiter.request(&request_with_key(&format!("f{n}"), &body));
@@ -77,7 +77,7 @@
     }
 }
 
-/// Runs a limiter whose client behaves as told before a server closes or resets the
+/// Races a client with this behaviour against a server that closes or resets the
 /// connection of the first attempt.
 fn race_with_failed_attempt(behaviour: ClientBehaviour, is_reset: bool) -> RaceOutcome {
     let gate = Gate::default();
@@ -100,15 +100,18 @@
 /// latency objective, after which an attempt without a response times out.
 const ATTEMPT_TIMEOUT_STALL_MS: u64 = 2300;
 
-/// The first attempt of each request has no response, and is cancelled and retried at the other
-/// server after 0.4 of the latency objective. The request of a disconnected client is not retried;
-/// that of the next client, `c-2`, is.
+/// The first attempt of each request has no response, and is cancelled and retried at the other server
+/// after 0.4 of the latency objective. The request of a disconnected client is not retried; that of
+/// the next client, `c-2`, is.
 #[test]
 fn a_timed_out_attempt_is_not_retried_for_a_disconnected_client() {
     for behaviour in ClientBehaviour::DISCONNECTS {
         let seen_ids = Mutex::new(HashSet::new());
         let respond = move |request: &HttpMessage, stream: &mut TcpStream| {
-            let is_first_attempt = seen_ids.lock().expect("lock").insert(request.correlation_id());
+            let is_first_attempt = seen_ids
+                .lock()
+                .expect("no thread panicked while it held the lock")
+                .insert(request.correlation_id());
             if is_first_attempt {
                 ignore_until_closed(stream)
             } else {
@@ -161,17 +164,17 @@
     }
 }
 
-/// The order in which a client with two pipelined requests disconnects and a
-/// server responds to the first one.
+/// The order in which a client with two pipelined requests disconnects and a server
+/// responds to the first one.
 #[derive(Clone, Copy, Debug)]
 enum PipelinedOrder {
     /// The limiter detects the disconnect before the server responds.
     DisconnectDetectedBeforeResponse,
-    /// The client disconnects before the server responds. The limiter is stopped
-    /// and sees both at the same time.
+    /// The client disconnects before the server responds. The limiter is stopped and
+    /// sees both events together.
     DisconnectBeforeResponseDuringStall,
-    /// The server responds before the client disconnects. The limiter is stopped
-    /// and sees both at the same time.
+    /// The server responds before the client disconnects. The limiter is stopped and
+    /// sees both events together.
     ResponseBeforeDisconnectDuringStall,
 }
 
@@ -211,22 +214,32 @@
         gate.open();
         response_written.wait_until_open();
     };
+    race_client_with_response(&limiter, client, order, trigger_response);
+    assert_eq!(limiter.request(&request_with_long_timeout("c-2")).status, 200);
+    shut_down_and_collect_ids(limiter, &servers)
+}
+
+/// Disconnects the client and triggers the response of the server, in this order of events.
+fn race_client_with_response(
+    limiter: &LimiterProcess,
+    client: TcpStream,
+    order: PipelinedOrder,
+    trigger_response: impl FnOnce(),
+) {
     match order {
         PipelinedOrder::DisconnectDetectedBeforeResponse => {
             let behaviour = ClientBehaviour::DisconnectsBeforeEvent;
-            race_client_with_event(&limiter, client, behaviour, trigger_response);
+            race_client_with_event(limiter, client, behaviour, trigger_response);
         }
         PipelinedOrder::DisconnectBeforeResponseDuringStall => {
             let behaviour = ClientBehaviour::DisconnectsDuringStall;
-            race_client_with_event(&limiter, client, behaviour, trigger_response);
+            race_client_with_event(limiter, client, behaviour, trigger_response);
         }
         PipelinedOrder::ResponseBeforeDisconnectDuringStall => {
             limiter.signal("STOP");
             trigger_response();
             let behaviour = ClientBehaviour::DisconnectsDuringStall;
-            race_client_with_event(&limiter, client, behaviour, || ());
+            race_client_with_event(limiter, client, behaviour, || ());
         }
     }
-    assert_eq!(limiter.request(&request_with_long_timeout("c-2")).status, 200);
-    shut_down_and_collect_ids(limiter, &servers)
 }
--- a/limiter/tests/client_disconnects_before_grants.rs
+++ b/limiter/tests/client_disconnects_before_grants.rs
@@ -19,7 +19,7 @@
     }
 }
 
-/// Runs a limiter whose client behaves as told before a quota owner grants the units of its request.
+/// Races a client with this behaviour against a quota owner that grants the units of the client's request.
 fn race_with_grant(behaviour: ClientBehaviour) -> RaceOutcome {
     let server = StubServer::responding_with("fine");
     // The limiter has too little quota to forward a request without a grant.
@@ -52,8 +52,8 @@
 }
 
 /// Runs a limiter whose client disconnects before all quota owners have timed out. Returns the ids
-/// of the requests that the server received, or `None` if the client's request was forwarded
-/// before the limiter was stopped.
+/// of the requests that the server received, or `None` if the client's request was forwarded before
+/// the limiter was stopped.
 fn race_with_unresponsive_quota_owners() -> Option<Vec<String>> {
     let server = StubServer::responding_with("fine");
     let MemberWithQuotaOwner { limiter, quota_owner } =
--- a/limiter/tests/connection_pool.rs
+++ b/limiter/tests/connection_pool.rs
@@ -61,8 +61,8 @@
         let started_at = Instant::now();
         let mut is_open = write_ok(stream, &request.body);
         sleep_ms(1);
-        // A busy machine may delay the copy until the connection is reused, which the limiter cannot
-        // detect. Such a copy is not written.
+        // A busy machine may delay the copy until the connection is reused, which the limiter cannot detect.
+        // Such a copy is not written.
         if started_at.elapsed() < Duration::from_millis(3) {
             is_open = write_ok(stream, &request.body);
         }
--- a/limiter/tests/disconnect_detection.rs
+++ b/limiter/tests/disconnect_detection.rs
@@ -29,15 +29,15 @@
 ];
 
 /// A client with a queued request sends more bytes and disconnects. The end of the connection follows bytes
-/// that are not due to be read, and must be detected nevertheless, so that no server executes a request
-/// whose client has disconnected.
+/// that are not due to be read, and must be detected nevertheless, so that no server executes a request whose
+/// client has disconnected.
 #[test]
 fn a_disconnect_is_detected_after_unread_bytes() {
     for case in UNREAD_BYTES_CASES {
         let QueuedRequest { limiter, mut client } = QueuedRequest::start();
         let unread_bytes = vec![b'x'; case.num_bytes];
-        // The bytes are written in two parts, as the limiter handles the first bytes after a request
-        // separately: they may be the beginning of the next request.
+        // The bytes are written in two parts, as the first bytes after a request are read by the code that
+        // looks for the head of the next request.
         let (first_part, second_part) = unread_bytes.split_at(case.num_bytes / 2);
         client.write_all(first_part).expect("a written first part");
         assert!(has_pending_request(&limiter));
@@ -73,22 +73,14 @@
     assert!(server.received_requests().is_empty(), "{case}: a request was forwarded");
 }
 
-/// Returns a connection on which a response has arrived that the client has not read.
-/// Closing the connection resets it.
+/// Returns a connection on which a response has arrived that the client has not read. Closing
+/// the connection resets it.
 fn client_with_unread_response(limiter: &LimiterProcess) -> TcpStream {
     let client = limiter.send(READINESS_REQUEST);
     retry_on_interrupt(|| client.peek(&mut [0])).expect("a response that remains unread");
     client
 }
 
-const BURSTS: [DisconnectingBurst; 5] = [
-    DisconnectingBurst { body_bytes: None, num_pooled_connections: 0 },
-    DisconnectingBurst { body_bytes: None, num_pooled_connections: 8 },
-    DisconnectingBurst { body_bytes: Some(5), num_pooled_connections: 0 },
-    DisconnectingBurst { body_bytes: Some(5), num_pooled_connections: 8 },
-    DisconnectingBurst { body_bytes: Some(40_000), num_pooled_connections: 8 },
-];
-
 /// Many clients send complete requests and disconnect while the limiter is stopped, by closing, half closing
 /// or resetting their connections. The limiter reads each request together with the end of its connection,
 /// more than 0.1 s later, and must forward none of them, whether connections to the server are pooled or not.
@@ -106,7 +98,7 @@
 const NUM_RESETTING_CLIENTS: usize = 25;
 /// Part of the correlation ids of all requests whose clients disconnect.
 const BURST_ID: &str = "burst";
-/// Part of the correlation ids of the requests that open connections to the server before the burst.
+/// Prefix of the correlation ids of the requests that open connections to the server before the burst.
 const WARM_UP_ID: &str = "c-warm-up";
 /// How long the limiter stays stopped after the last client has disconnected, in milliseconds: longer than
 /// the 0.1 s for which a request may still be forwarded.
@@ -121,6 +113,14 @@
     num_pooled_connections: usize,
 }
 
+const BURSTS: [DisconnectingBurst; 5] = [
+    DisconnectingBurst { body_bytes: None, num_pooled_connections: 0 },
+    DisconnectingBurst { body_bytes: None, num_pooled_connections: 8 },
+    DisconnectingBurst { body_bytes: Some(5), num_pooled_connections: 0 },
+    DisconnectingBurst { body_bytes: Some(5), num_pooled_connections: 8 },
+    DisconnectingBurst { body_bytes: Some(40_000), num_pooled_connections: 8 },
+];
+
 impl DisconnectingBurst {
     /// Runs the burst with a new limiter and server. Returns the ids of the requests that were forwarded
     /// although their clients had disconnected.
@@ -136,8 +136,8 @@
         limiter.signal("STOP");
         let half_closed_clients = self.send_and_close(&limiter);
         self.send_and_reset(resetting_clients);
-        // This sleep awaits no event: it makes the disconnects so old that no
-        // request may be forwarded any more.
+        // This sleep awaits no event: it makes the disconnects so old that no request
+        // may be forwarded any more.
         sleep_ms(STALL_AFTER_BURST_MS);
         limiter.signal("CONT");
 
@@ -178,8 +178,8 @@
     }
 
     /// Sends a request on each of the connections that are closed or half closed. The clients take
-    /// turns: one half closes, one half closes after another, pipelined request, one closes.
-    /// Returns the half closed connections.
+    /// turns: one half closes, one half closes after another, pipelined request, one closes. Returns the
+    /// half closed connections.
     fn send_and_close(&self, limiter: &LimiterProcess) -> Vec<TcpStream> {
         let mut half_closed_clients = Vec::new();
         for number in 0..NUM_CLOSING_CLIENTS {
--- a/limiter/tests/discovery_watches.rs
+++ b/limiter/tests/discovery_watches.rs
@@ -38,8 +38,8 @@
     server_one.assert_receives_nothing_during(|| limiter.assert_responses("two", 10));
 }
 
-/// Discovery closes each watch as soon as it is opened. A limiter of a large
-/// fleet opens a new watch each time.
+/// Discovery closes each watch as soon as it is opened. A limiter of a large fleet
+/// opens a new watch each time.
 #[test]
 fn closed_watches_are_reopened() {
     let limiter = LimiterProcess::with_endpoints(&[], in_a_large_fleet);
@@ -49,9 +49,9 @@
     }
 }
 
-/// Discovery sends a change that cannot be parsed, twice. The limiter requests the changes
-/// after its last version once more, then the complete list: a change that is invalid for good
-/// must not block all later ones.
+/// Discovery sends a change that cannot be parsed, twice. The limiter requests the changes after
+/// its last version once more, then the complete list: a change that is invalid for good must
+/// not block all later ones.
 #[test]
 fn an_invalid_change_is_followed_by_the_complete_list() {
     let server = StubServer::responding_with("one");
@@ -76,8 +76,8 @@
     wait_for("service", || limiter.request(&idempotent_request()).body == "fine");
 }
 
-/// How a limiter receives endpoint lists, and a response time of discovery that exceeds the timeout
-/// of a watch request in this mode.
+/// How a limiter receives endpoint lists, and a response time of discovery that exceeds the timeout of a
+/// watch request in this mode.
 struct SlowDiscoveryCase {
     mode: &'static str,
     response_delay_ms: u64,
--- a/limiter/tests/endpoint_list.rs
+++ b/limiter/tests/endpoint_list.rs
@@ -77,9 +77,9 @@
     format!("{{\"version\":9,\"full\":false,\"servers\":[{invalid_entry},{removal}]}}\n")
 }
 
-/// Discovery sends lists with line breaks and indentation, a list in two chunks, and two changes
-/// in one chunk. The limiter parses all of them on one watch, as the layout of a list and the
-/// ends of its chunks mean nothing.
+/// Discovery sends lists with line breaks and indentation, a list in two chunks, and two changes in
+/// one chunk. The limiter parses all of them on one watch, as the layout of a list and the ends of
+/// its chunks mean nothing.
 #[test]
 fn indented_lists_are_parsed() {
     let server_one = StubServer::responding_with("one");
@@ -100,18 +100,18 @@
     assert_eq!(limiter.discovery.num_watch_requests(), 1, "a list was not parsed on the first watch");
 }
 
-/// Adds a line break and spaces after each comma and opening brace, and a line
-/// break before each closing brace.
+/// Adds a line break and spaces after each comma and opening brace, and a line break
+/// before each closing brace.
 fn indent(list: &str) -> String {
     list.replace(',', ",\n    ").replace('{', "{\n  ").replace('}', "\n}")
 }
 
-/// Entries of the longest list. The largest fleet has 3,200 servers, and twice as many are on the list
-/// while all of them are replaced.
+/// Entries of the longest list. The largest fleet has 3,200 servers, and twice as many are on the list while
+/// all of them are replaced.
 const MAX_LISTED_SERVERS: usize = 6400;
 
-/// Discovery sends the complete list of the largest fleet, indented, which is the largest text
-/// that the limiter has to buffer.
+/// Discovery sends the complete list of the largest fleet, indented, which is the largest text that
+/// the limiter has to buffer.
 #[test]
 fn the_indented_list_of_the_largest_fleet_is_parsed() {
     let server = StubServer::responding_with("fine");
--- a/limiter/tests/stubs/disconnecting_client.rs
+++ b/limiter/tests/stubs/disconnecting_client.rs
@@ -102,8 +102,8 @@
     wait_for("the request to be pending", || has_pending_request(limiter));
 }
 
-/// Returns when the request `c-1` is no longer pending because the limiter has
-/// detected that its client disconnected.
+/// Returns when the request `c-1` is no longer pending because the limiter has detected that
+/// its client disconnected.
 ///
 /// # Panics
 ///
@@ -137,7 +137,7 @@
     ids.iter().map(ToString::to_string).collect()
 }
 
-/// Has the client of the request `c-1` behave as told, and triggers the event. Returns the status of the
+/// Has the client of the request `c-1` show this behaviour, and triggers the event. Returns the status of the
 /// response if the client stays connected, and `None` otherwise.
 ///
 /// # Panics
--- a/limiter/tests/stubs/discovery.rs
+++ b/limiter/tests/stubs/discovery.rs
@@ -10,8 +10,8 @@
 
 /// What a watch sends while there is no change.
 pub const HEARTBEAT: &str = "\n";
-/// Time between two heartbeats of a watch, in milliseconds. The limiter reopens a
-/// watch that is silent for 2.5 s.
+/// Time between two heartbeats of a watch, in milliseconds. The limiter reopens a watch
+/// that is silent for 2.5 s.
 const HEARTBEAT_INTERVAL_MS: u64 = 500;
 
 /// What the test and the threads of a stub share.
@@ -44,8 +44,8 @@
             let Ok(mut stream) = stream else { continue };
             let Ok(request) = read_message(&mut stream) else { continue };
             self.num_watch_requests.fetch_add(1, Ordering::SeqCst);
-            // The lock is taken before the flag is read, so that no request is
-            // added after the stub has resumed.
+            // The lock is taken before the flag is read, so that no request is added
+            // after the stub has resumed.
             let mut unanswered = lock(&self.unanswered);
             if self.is_unresponsive.load(Ordering::SeqCst) {
                 unanswered.push(stream);
@@ -169,8 +169,8 @@
         self.state.heartbeats_stopped.store(!text.ends_with('\n'), Ordering::SeqCst);
     }
 
-    /// Returns the heads of the watch requests that opened a watch immediately or
-    /// after the delay, in their order.
+    /// Returns the heads of the watch requests that opened a watch, in their order. Requests that were
+    /// answered by [`StubDiscovery::resume_with`] are not among them.
     pub fn watch_request_heads(&self) -> Vec<String> {
         lock(&self.state.answered_heads).clone()
     }
--- a/limiter/tests/stubs/gate.rs
+++ b/limiter/tests/stubs/gate.rs
@@ -6,8 +6,8 @@
 
 use super::wait_for;
 
-/// A gate at which a thread of a stub waits until the test opens it. The gate is closed at first, and
-/// all of its clones open together.
+/// A gate at which a thread of a stub waits until the test opens it. The gate is closed at first, and all of
+/// its clones open together.
 #[derive(Clone, Default)]
 pub struct Gate(Arc<AtomicBool>);
 
--- a/limiter/tests/stubs/http.rs
+++ b/limiter/tests/stubs/http.rs
@@ -70,8 +70,8 @@
     write!(stream, "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len()).is_ok()
 }
 
-/// Writes the response of a server that has not executed the request. Returns
-/// false if the connection is closed.
+/// Writes the response of a server that has not executed the request. Returns false if
+/// the connection is closed.
 pub fn write_rejection(stream: &mut TcpStream) -> bool {
     stream.write_all(REJECTION).is_ok()
 }
--- a/limiter/tests/stubs/in_flight_request.rs
+++ b/limiter/tests/stubs/in_flight_request.rs
@@ -53,8 +53,8 @@
         InFlightRequest { servers, limiter, client }
     }
 
-    /// Starts one server that responds after 0.3 s, a limiter with the default configuration, and
-    /// the default idempotent request.
+    /// Starts one server that responds after 0.3 s, a limiter with the default configuration, and the
+    /// default idempotent request.
     ///
     /// # Panics
     ///
--- a/limiter/tests/stubs/limiter_command.rs
+++ b/limiter/tests/stubs/limiter_command.rs
@@ -22,8 +22,8 @@
     path
 }
 
-/// Returns the command that runs the limiter with this configuration file and limit on open
-/// descriptors. Standard error is piped.
+/// Returns the command that runs the limiter with this configuration file and limit on open descriptors.
+/// Standard error is piped.
 pub fn limiter_command(configuration: &Path, descriptor_limit: u32) -> Command {
     let mut command = Command::new("sh");
     command.args(["-c", "ulimit -n \"$1\"; exec \"$0\"", env!("CARGO_BIN_EXE_limiter")]);
--- a/limiter/tests/stubs/limiter_process.rs
+++ b/limiter/tests/stubs/limiter_process.rs
@@ -14,8 +14,8 @@
 
 pub use start::FailedStart;
 
-/// A running limiter with a stub of discovery. Dropping it kills the process; a
-/// test that fails prints the log.
+/// A running limiter with a stub of discovery. Dropping it kills the process; a test
+/// that fails prints the log.
 pub struct LimiterProcess {
     /// Address at which the limiter accepts clients.
     pub addr: SocketAddr,
@@ -102,8 +102,8 @@
         send_and_receive(&mut self.connect(), request)
     }
 
-    /// Sends idempotent requests, one after another, and asserts that each of
-    /// them is answered with this body.
+    /// Sends idempotent requests, one after another, and asserts that each of them is
+    /// answered with this body.
     ///
     /// # Panics
     ///
--- a/limiter/tests/stubs/limiter_process/start.rs
+++ b/limiter/tests/stubs/limiter_process/start.rs
@@ -26,8 +26,8 @@
         LimiterProcess::with_server(server, |configuration| configuration)
     }
 
-    /// Starts a limiter with an altered configuration in front of one server, s-1, and
-    /// returns when the limiter is ready.
+    /// Starts a limiter with an altered configuration in front of one server, s-1, and returns
+    /// when the limiter is ready.
     pub fn with_server(
         server: &StubServer,
         alter: impl Fn(Configuration) -> Configuration,
@@ -40,8 +40,8 @@
         LimiterProcess::with_endpoints(&[], |configuration| configuration)
     }
 
-    /// Starts a limiter with these endpoints. Returns when the limiter has opened its watch and, unless
-    /// there are no endpoints, is ready.
+    /// Starts a limiter with these endpoints. Returns when the limiter has opened its watch and, unless there
+    /// are no endpoints, is ready.
     pub fn with_endpoints(
         endpoints: &[Endpoint],
         alter: impl Fn(Configuration) -> Configuration,
@@ -100,8 +100,8 @@
         LimiterProcess { addr, discovery, child, log, configuration }
     }
 
-    /// Starts a limiter that must fail to start, and returns when the process has exited. Nothing
-    /// listens at the address of discovery.
+    /// Starts a limiter that must fail to start, and returns when the process has exited. Nothing listens at
+    /// the address of discovery.
     pub fn fail_to_start(alter: impl Fn(Configuration) -> Configuration) -> FailedStart {
         let configuration = write_configuration(&alter(Configuration::with_discovery_at("127.0.0.1:1")));
         let output = limiter_command(&configuration, DEFAULT_DESCRIPTOR_LIMIT).output();
--- a/limiter/tests/stubs/mod.rs
+++ b/limiter/tests/stubs/mod.rs
@@ -1,5 +1,5 @@
-//! Stubs of the limiter's surroundings (clients, servers, discovery, a quota owner), and the limiter
-//! under test as a child process.
+//! Stubs of the limiter's surroundings (clients, servers, discovery, a quota owner), and the limiter under
+//! test as a child process.
 //!
 //! Helpers panic if a step fails, so that the test that uses them fails at this step.
 
@@ -40,8 +40,8 @@
 use std::sync::{Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 
-/// How long a test waits for an event before it fails. Far longer than any event takes, so
-/// that a busy machine fails no test.
+/// How long a test waits for an event before it fails. Far longer than any event takes, so that a
+/// busy machine fails no test.
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Time between two checks of [`wait_for`], in milliseconds.
--- a/limiter/tests/stubs/quota_owner.rs
+++ b/limiter/tests/stubs/quota_owner.rs
@@ -12,8 +12,8 @@
     DEFAULT_CUSTOMER,
 };
 
-/// A customer whose quota is owned by the limiters 1, 2 and 3 of a fleet of four. A
-/// member asks them in this order.
+/// A customer whose quota is owned by the limiters 1, 2 and 3 of a fleet of four. A member
+/// asks them in this order.
 pub const CUSTOMER_OF_STUB_OWNER: &str = "00000000b4d65522";
 
 /// Number of limiters in the fleet of the stub.
@@ -92,8 +92,8 @@
             sockets.push(socket);
         }
         let socket = sockets.swap_remove(OWNER_POSITION);
-        // Closing the other sockets frees the address of the limiter under test. The
-        // two remaining peers stay silent.
+        // Closing the other sockets frees the address of the limiter under test. The two
+        // remaining peers stay silent.
         drop(sockets);
         socket.set_read_timeout(Some(RECEIVE_TIMEOUT)).expect("a read timeout");
         let limiter = LimiterProcess::with_server(server, |configuration| {
@@ -189,8 +189,8 @@
     message.extend(unreported_units.to_be_bytes());
 }
 
-/// Returns the sum of all bytes but those of the checksum, each multiplied by `2 * position +
-/// 3`, modulo [`CHECKSUM_MODULUS`].
+/// Returns the sum of all bytes but those of the checksum, each multiplied by `2 * position + 3`,
+/// modulo [`CHECKSUM_MODULUS`].
 fn checksum(message: &[u8]) -> u16 {
     let mut sum: u32 = 0;
     for (position, byte) in (0..).zip(message) {
--- a/limiter/tests/stubs/server.rs
+++ b/limiter/tests/stubs/server.rs
@@ -18,8 +18,8 @@
     stops_listening: AtomicBool,
 }
 
-/// A server whose responses are given by a closure. It serves each connection in
-/// a thread, until the test exits.
+/// A server whose responses are given by a closure. It serves each connection in a
+/// thread, until the test exits.
 pub struct StubServer {
     /// Address at which the server listens.
     pub addr: SocketAddr,
@@ -27,8 +27,8 @@
 }
 
 impl StubServer {
-    /// Starts a server. `respond` answers each request on its connection, and returns
-    /// whether the connection stays open.
+    /// Starts a server. `respond` answers each request on its connection, and returns whether
+    /// the connection stays open.
     ///
     /// # Panics
     ///
--- a/limiter/tests/stubs/server_with_full_backlog.rs
+++ b/limiter/tests/stubs/server_with_full_backlog.rs
@@ -50,8 +50,8 @@
     }
 }
 
-/// Returns a listener with a backlog of one connection. The standard library
-/// cannot set the length of a backlog.
+/// Returns a listener with a backlog of one connection. The standard library cannot set
+/// the length of a backlog.
 fn listener_with_smallest_backlog() -> TcpListener {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     let listener = runtime.block_on(async {
@@ -82,15 +82,15 @@
     }
 }
 
-/// Waits for a request, which is expected to be received by one read. Returns
-/// false if the connection is closed.
+/// Waits for a request, which is expected to be received by one read. Returns false if
+/// the connection is closed.
 fn receive(stream: &mut TcpStream) -> bool {
     let mut buffer = [0; 4096];
     stream.read(&mut buffer).is_ok_and(|length| length > 0)
 }
 
-/// The connections that were established after [`ServerWithFullBacklog::accept_all`], and
-/// those that filled the backlog.
+/// The connections that were established after [`ServerWithFullBacklog::accept_all`], and those
+/// that filled the backlog.
 pub struct LateConnections {
     num_in_backlog: usize,
     /// For each connection on which a request or the end was read: whether it was a request.
@@ -98,8 +98,8 @@
 }
 
 impl LateConnections {
-    /// Returns when a request or the end was read on `count` connections of the limiter, and on all
-    /// those that filled the backlog.
+    /// Returns when a request or the end was read on `count` connections of the limiter, and on all those
+    /// that filled the backlog.
     ///
     /// # Panics
     ///
