--- /dev/null
+++ b/limiter/tests/reload_during_start.rs
@@ -0,0 +1,123 @@
+//! A reload of the configuration while the process still starts.
+
+mod stubs;
+
+use std::fs::{File, OpenOptions};
+use std::io::Write;
+use std::net::TcpStream;
+use std::os::unix::fs::OpenOptionsExt;
+use std::path::{Path, PathBuf};
+use std::process::{Child, Command};
+
+use stubs::*;
+
+/// The program with a named pipe for its configuration file, so that the test decides when the configuration
+/// is read. The process is killed at the end of the test.
+struct ProcessWithPipe {
+    child: Child,
+    directory: PathBuf,
+    pipe: PathBuf,
+    log: PathBuf,
+}
+
+impl ProcessWithPipe {
+    fn start() -> ProcessWithPipe {
+        let directory = std::env::temp_dir().join(format!("limiter-reload-{}", std::process::id()));
+        std::fs::create_dir_all(&directory).expect("a directory");
+        let pipe = directory.join("config");
+        let log = directory.join("log");
+        assert!(Command::new("mkfifo").arg(&pipe).status().expect("mkfifo").success());
+        let mut command = Command::new(env!("CARGO_BIN_EXE_limiter"));
+        command.env_remove("ROUTER_NAME").env_remove("ROUTER_LISTEN").env_remove("ROUTER_DISCOVERY");
+        command.env("ROUTER_CONFIG", &pipe).stderr(File::create(&log).expect("a log"));
+        let child = command.spawn().expect("the program starts");
+        ProcessWithPipe { child, directory, pipe, log }
+    }
+
+    fn log(&self) -> String {
+        std::fs::read_to_string(&self.log).expect("a log")
+    }
+
+    fn wait_log(&self, text: &str) {
+        wait_for(text, || self.log().contains(text));
+    }
+
+    fn connect(&self) -> TcpStream {
+        let log = self.log();
+        let address = listening_address(&log).expect("an address");
+        TcpStream::connect(address).expect("connect")
+    }
+
+    /// Waits until the program opens the pipe to read its configuration, calls `before_write`, and writes a
+    /// configuration with this discovery.
+    fn write_configuration(&self, discovery: &StubDiscovery, before_write: impl FnOnce()) {
+        let configuration = Configuration::with_discovery_at(&discovery.addr.to_string());
+        let mut pipe = open_pipe_with_reader(&self.pipe);
+        before_write();
+        pipe.write_all(configuration.text().as_bytes()).expect("write");
+    }
+}
+
+impl Drop for ProcessWithPipe {
+    fn drop(&mut self) {
+        let _ = self.child.kill();
+        let _ = self.child.wait();
+        let _ = std::fs::remove_dir_all(&self.directory);
+    }
+}
+
+/// Opens a pipe for writing once a process has opened it for reading. Until then, an open with `O_NONBLOCK`
+/// fails.
+fn open_pipe_with_reader(pipe: &Path) -> File {
+    const O_NONBLOCK: i32 = 0o4000;
+    let mut file = None;
+    wait_for("the program to read its configuration", || {
+        file = OpenOptions::new().write(true).custom_flags(O_NONBLOCK).open(pipe).ok();
+        file.is_some()
+    });
+    file.expect("a pipe with a reader")
+}
+
+/// Announces a list on every present and future watch of the old discovery, and waits until the program ends
+/// its watch there or has made none.
+fn assert_watch_ends(program: &ProcessWithPipe, old_discovery: &StubDiscovery, list: &str) {
+    old_discovery.resume_with(list);
+    if old_discovery.num_watches() > 0 {
+        old_discovery.send(list);
+    }
+    wait_for("the old watch to end", || {
+        old_discovery.num_calls() == 0 || program.log().contains("endpoint watch superseded")
+    });
+}
+
+/// SIGHUP arrives while the program reads its first configuration, and the second configuration names another
+/// discovery. Guards against a process that is terminated by the signal, forgets it, watches the new
+/// discovery twice, or follows both.
+#[test]
+fn a_sighup_before_the_first_watch_moves_the_watch() {
+    let server = StubServer::responding("new");
+    let old_server = StubServer::responding("old");
+    let old_discovery = StubDiscovery::new(complete_list(1, &[serving("s-1", &old_server)]));
+    let new_discovery = StubDiscovery::new(complete_list(1, &[serving("s-2", &server)]));
+    let mut program = ProcessWithPipe::start();
+    program.write_configuration(&old_discovery, || send_signal(program.child.id(), "HUP"));
+    program.wait_log(LISTENING_LOG);
+    program.write_configuration(&new_discovery, || ());
+    program.wait_log("endpoint changed server=s-2 ");
+    assert_watch_ends(&program, &old_discovery, &complete_list(9, &[serving("s-9", &old_server)]));
+
+    // The program has versions of the old discovery alone, which mean nothing to the new one.
+    let first_request = new_discovery.watch_requests().swap_remove(0);
+    assert!(!first_request.contains("after="), "{first_request}");
+    new_discovery.send(&list_change(2, &[serving("s-3", &server)]));
+    program.wait_log("endpoint changed server=s-3 ");
+    let mut client = program.connect();
+    assert_eq!(exchange(&mut client, &request_with_long_timeout("hangup")).body, "new");
+    let num_watch_requests = new_discovery.num_calls();
+    let log = program.log();
+    // A watch request that times out, on a slow machine, is logged and repeated.
+    let num_repeated = log.matches("endpoint watch failed, reconnecting").count();
+    assert!(num_watch_requests <= 1 + num_repeated, "{num_watch_requests} watch requests: {log}");
+    assert!(!log.contains("s-9"), "the old discovery is followed: {log}");
+    assert!(program.child.try_wait().expect("a child").is_none(), "{log}");
+}
