--- a/limiter/tests/deadline_propagation.rs
+++ b/limiter/tests/deadline_propagation.rs
@@ -12,9 +12,15 @@
 /// are estimates.
 const SLACK_S: f64 = 0.15;
 
+/// A server, and the limiter in front of it.
+struct Setup {
+    server: StubServer,
+    limiter: LimiterProcess,
+}
+
 /// Starts a server that responds to the request `first` after 1.5 s and to any other immediately, and the
 /// limiter in front of it.
-fn start() -> (StubServer, LimiterProcess) {
+fn start() -> Setup {
     let server = StubServer::new(|request, stream: &mut TcpStream| {
         if request.correlation_id() == "first" {
             pause_ms(1500);
@@ -22,7 +28,7 @@
         write_ok(stream, "fine")
     });
     let limiter = LimiterProcess::with_server(&server, Configuration::without_latency_objective);
-    (server, limiter)
+    Setup { server, limiter }
 }
 
 /// Returns an idempotent request whose client waits for so many seconds.
@@ -47,7 +53,7 @@
 /// first.
 #[test]
 fn the_deadline_of_a_pipelined_request_counts_from_its_arrival() {
-    let (server, limiter) = start();
+    let Setup { server, limiter } = start();
     let requests = idempotent_request_with_id("first") + &request_with_time_left("second", 2.0);
     let mut client = limiter.send(&requests);
     assert_eq!(read_response(&mut client).status, 200);
@@ -59,7 +65,7 @@
 /// ahead. The client has a little more time left than if the requests had arrived together.
 #[test]
 fn the_deadline_of_a_request_that_was_read_ahead_counts_from_its_arrival() {
-    let (server, limiter) = start();
+    let Setup { server, limiter } = start();
     let mut client = limiter.send(&idempotent_request_with_id("first"));
     wait_for("the first request", || server.num_received() == 1);
     client.write_all(request_with_time_left("second", 2.0).as_bytes()).expect("write");
@@ -73,7 +79,7 @@
 /// It is rejected and not forwarded.
 #[test]
 fn a_request_that_expired_while_waiting_is_not_forwarded() {
-    let (server, limiter) = start();
+    let Setup { server, limiter } = start();
     let requests = idempotent_request_with_id("first") + &request_with_time_left("second", 1.0);
     let mut client = limiter.send(&requests);
     assert_eq!(read_response(&mut client).status, 200);
@@ -84,7 +90,7 @@
 /// The request waits 1 s of its 2 s in the kernel, because the process gets no processor time.
 #[test]
 fn the_deadline_of_a_request_that_arrived_during_a_stall_counts_from_before_the_stall() {
-    let (server, limiter) = start();
+    let Setup { server, limiter } = start();
     let mut client = limiter.connect();
     assert_eq!(exchange(&mut client, &idempotent_request_with_id("warm-up")).status, 200);
     limiter.signal("STOP");
--- a/limiter/tests/races.rs
+++ b/limiter/tests/races.rs
@@ -78,7 +78,8 @@
 
 /// The first attempt of a request with a key fails after the request may have been executed, and the
 /// connection for the retry is established after the window in which servers drop duplicates. A retry could
-/// execute the request twice: it is not sent, and the client is told that the request failed.
+/// execute the request twice: it is not sent, and the response to the client says only that the request
+/// failed.
 #[test]
 fn a_connection_established_after_the_dedup_window_carries_no_request() {
     const DEDUP_WINDOW_MS: u32 = 1000;
--- a/limiter/tests/shutdown_races.rs
+++ b/limiter/tests/shutdown_races.rs
@@ -13,12 +13,18 @@
 /// follow when no more requests arrive.
 const STALL_MS: u64 = 1100;
 
+/// A server, and the limiter in front of it.
+struct Setup {
+    server: StubServer,
+    limiter: LimiterProcess,
+}
+
 /// Starts a server and a limiter that accepts requests after SIGTERM for the shortest time possible. There is
 /// no latency objective, because a machine that stalls for a second would otherwise have requests rejected.
-fn start() -> (StubServer, LimiterProcess) {
+fn start() -> Setup {
     let server = StubServer::responding("fine");
     let limiter = LimiterProcess::with_server(&server, Configuration::without_latency_objective);
-    (server, limiter)
+    Setup { server, limiter }
 }
 
 /// Stops the process, performs `during_stall`, and continues the process when all steps of its shutdown are
@@ -88,7 +94,7 @@
 fn requests_that_arrive_during_a_stall_at_shutdown_are_not_lost() {
     // Three rounds, because a process that is stopped while it does not wait for I/O does not force the race.
     for _ in 0..3 {
-        let (server, mut limiter) = start();
+        let Setup { server, mut limiter } = start();
         let mut idle_client = idle_connection(&limiter, "first");
         let mut silent_client = limiter.connect();
         limiter.signal("TERM");
@@ -118,7 +124,7 @@
 #[test]
 fn the_accept_queue_is_served_before_the_listener_closes() {
     const NUM_CLIENTS: usize = 120;
-    let (server, mut limiter) = start();
+    let Setup { server, mut limiter } = start();
     let idle_client = idle_connection(&limiter, "first");
     limiter.signal("TERM");
     limiter.wait_log("shutdown started");
@@ -151,7 +157,7 @@
 #[test]
 fn a_request_resent_at_shutdown_is_served_once() {
     const NUM_CLIENTS: usize = 8;
-    let (server, mut limiter) = start();
+    let Setup { server, mut limiter } = start();
     let ids: Vec<String> = (0..NUM_CLIENTS).map(|number| format!("resent-{number}")).collect();
     let mut idle_clients: Vec<TcpStream> =
         ids.iter().map(|id| idle_connection(&limiter, &format!("before-{id}"))).collect();
@@ -205,7 +211,7 @@
 #[test]
 fn every_request_until_exit_is_answered_or_not_forwarded() {
     const NUM_CLIENTS: usize = 8;
-    let (server, mut limiter) = start();
+    let Setup { server, mut limiter } = start();
     let mut client_threads = Vec::new();
     for client_number in 0..NUM_CLIENTS {
         let mut client = idle_connection(&limiter, &format!("first-{client_number}"));
--- a/limiter/tests/startup.rs
+++ b/limiter/tests/startup.rs
@@ -223,11 +223,14 @@
 
 /// The process has the fewest descriptors that a configuration may state. An unresponsive server occupies
 /// every server connection, idle clients occupy every client connection, and discovery is down. The process
-/// reserves a descriptor for its watch request: when discovery resumes, its announcement takes effect, and
-/// attempts to the announced server have descriptors, too.
+/// reserves descriptors for its watch requests: when discovery resumes, its announcement takes effect.
+/// Attempts to the announced server have descriptors, too.
 #[test]
 fn idle_clients_do_not_use_the_descriptors_of_discovery_and_attempts() {
+    // 16 reserved descriptors, and one for each of at least 48 connections.
     const DESCRIPTORS: u32 = 64;
+    // A third of the 48 connections.
+    const MAX_SERVER_CONNECTIONS: usize = 16;
     let unresponsive_server = start_unresponsive_server();
     let serving_server = StubServer::responding("fine");
     let configured_list = complete_list(1, &[serving("s-1", &unresponsive_server)]);
@@ -239,7 +242,7 @@
     limiter.wait_log("using configured endpoint list");
     let waiting_clients: Vec<TcpStream> =
         (0..30).map(|number| limiter.send(&request_with_long_timeout(&format!("c-{number}")))).collect();
-    wait_for("attempts on all connections", || unresponsive_server.num_received() >= 16);
+    wait_for("attempts on all connections", || unresponsive_server.num_received() >= MAX_SERVER_CONNECTIONS);
     let stop_idle_clients = Gate::default();
     let idle_clients = start_idle_clients(limiter.addr, stop_idle_clients.clone());
     let num_watch_requests = limiter.discovery.num_calls();
