--- a/limiter-core/src/limiter.rs
+++ b/limiter-core/src/limiter.rs
@@ -120,11 +120,11 @@
     /// Returns the number of records that the limiter holds now.
     #[must_use]
     pub fn cache_sizes(&self) -> CacheSizes {
-        let (owner_quotas, grants) = self.owned_quotas.sizes();
+        let owned = self.owned_quotas.sizes();
         CacheSizes {
             member_quotas: self.member_quotas.len(),
-            owner_quotas,
-            grants,
+            owner_quotas: owned.quotas,
+            grants: owned.decisions,
             requests: self.requests.pending.len(),
             gossip_messages: self.gossip.len(),
         }
