--- a/limiter-core/src/rules/attempts.rs
+++ b/limiter-core/src/rules/attempts.rs
@@ -107,7 +107,8 @@
     /// Whether the client waits for a response: the request has no final response, and the client has not
     /// disconnected.
     pub is_client_waiting: bool,
-    /// Whether the chosen server accepts requests, at the same address and in the same start of its process.
+    /// Whether the chosen server accepts requests at the address of the connection. The start of its process
+    /// is not compared.
     pub is_serving: bool,
     /// Time in milliseconds within which the attempt may begin; negative after the end of that time.
     pub begin_within_ms: Millis,
--- a/limiter/src/upstream/servers.rs
+++ b/limiter/src/upstream/servers.rs
@@ -116,7 +116,8 @@
         result = send_and_receive(&servers, &engine, &job) => {
             result.unwrap_or_else(|error| {
                 let AttemptId { request, number: attempt } = job.id;
-                tracing::debug!(request, attempt, server = %job.server, %error, "attempt failed without response");
+                let server = &job.server;
+                tracing::debug!(request, attempt, %server, %error, "attempt failed without response");
                 error.outcome().into()
             })
         }
--- a/soak/src/faults/limiters.rs
+++ b/soak/src/faults/limiters.rs
@@ -18,36 +18,27 @@
 /// Stalls of a limiter are shorter than this, in milliseconds: a limiter tolerates 150 ms.
 const MAX_STALL_MS: u64 = 145;
 
-/// Restarts a limiter by SIGTERM.
-pub async fn terminate(harness: &Harness, limiter: usize, rng: &mut SmallRng) {
-    if !harness.begin_restart(limiter) {
-        return;
-    }
-    // The limiter starts again with this list, which may be stale by then.
-    let configured_list = harness.discovery.complete_list();
-    harness.record.record_event(format!("limiter {limiter}: SIGTERM"));
-    harness.limiters[limiter].terminate().await;
-    start_again(harness, limiter, configured_list, rng).await;
+/// The signal by which a limiter is restarted.
+#[derive(Debug, Clone, Copy)]
+pub enum RestartSignal {
+    /// A graceful shutdown, followed by SIGKILL after the platform's grace period.
+    Sigterm,
+    /// An end without notice.
+    Sigkill,
 }
 
-/// Restarts a limiter by SIGKILL.
-pub async fn kill(harness: &Harness, limiter: usize, rng: &mut SmallRng) {
+/// Ends a limiter by a signal and starts it again after a moment.
+pub async fn restart(harness: &Harness, limiter: usize, signal: RestartSignal, rng: &mut SmallRng) {
     if !harness.begin_restart(limiter) {
         return;
     }
     // The limiter starts again with this list, which may be stale by then.
     let configured_list = harness.discovery.complete_list();
-    harness.record.record_event(format!("limiter {limiter}: SIGKILL"));
-    harness.limiters[limiter].kill().await;
-    start_again(harness, limiter, configured_list, rng).await;
-}
-
-async fn start_again(
-    harness: &Harness,
-    limiter: usize,
-    configured_list: serde_json::Value,
-    rng: &mut SmallRng,
-) {
+    harness.record.record_event(format!("limiter {limiter}: {signal:?}"));
+    match signal {
+        RestartSignal::Sigterm => harness.limiters[limiter].terminate().await,
+        RestartSignal::Sigkill => harness.limiters[limiter].kill().await,
+    }
     sleep(random_ms(rng, 50, 600)).await;
     harness.limiters[limiter].start(configured_list).await;
     harness.record.record_event(format!("limiter {limiter}: started"));
--- a/soak/src/faults/mod.rs
+++ b/soak/src/faults/mod.rs
@@ -16,6 +16,7 @@
 
 use crate::harness::Harness;
 use crate::server::Reachability;
+use limiters::RestartSignal;
 
 /// Mean time between the beginnings of two faults. Most faults last longer, so that two or three overlap.
 const MEAN_FAULT_INTERVAL: Duration = Duration::from_millis(350);
@@ -133,8 +134,12 @@
     let mut rng = SmallRng::seed_from_u64(drawn.seed);
     let limiter = rng.random_range(0..harness.limiters.len());
     match drawn.fault {
-        Fault::TerminateLimiter => limiters::terminate(&harness, limiter, &mut rng).await,
-        Fault::KillLimiter => limiters::kill(&harness, limiter, &mut rng).await,
+        Fault::TerminateLimiter => {
+            limiters::restart(&harness, limiter, RestartSignal::Sigterm, &mut rng).await;
+        }
+        Fault::KillLimiter => {
+            limiters::restart(&harness, limiter, RestartSignal::Sigkill, &mut rng).await;
+        }
         Fault::StallLimiters => limiters::stall(&harness, &mut rng).await,
         Fault::ReloadConfiguration => limiters::reload(&harness, &mut rng).await,
         Fault::DiscoveryOutage => discovery::outage(&harness, &mut rng).await,
