--- a/limiter-core/src/event/action.rs
+++ b/limiter-core/src/event/action.rs
@@ -1,7 +1,5 @@
 //! What a limiter asks its caller to do.
 
-use std::fmt;
-
 use super::{Millis, RequestId, ServerId, TimerToken};
 
 /// Something that the caller has to do. Actions are executed in the order in which they are returned.
@@ -77,13 +75,3 @@
     /// How long the ejection lasts, in milliseconds.
     pub duration_ms: Millis,
 }
-
-impl fmt::Display for Ejection {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let reason = match self.reason {
-            EjectionReason::Errors => "too many errors",
-            EjectionReason::NoResponse => "no response",
-        };
-        write!(f, "server {} ejected for {} ms: {reason}", self.server, self.duration_ms)
-    }
-}
--- a/limiter-core/src/quota/member/even_share.rs
+++ b/limiter-core/src/quota/member/even_share.rs
@@ -31,7 +31,7 @@
     }
 
     /// Divides the rate quota of a plan by the number of its members.
-    fn of_rate_quota(plan: &Plan, member_count: u32) -> Self {
+    pub fn of_rate_quota(plan: &Plan, member_count: u32) -> Self {
         EvenShare::new(plan.rate, plan.burst, member_count)
     }
 
--- a/limiter-core/src/quota/member/fallback.rs
+++ b/limiter-core/src/quota/member/fallback.rs
@@ -54,7 +54,7 @@
 fn even_share_of(context: &Context, request: &Request) -> EvenShare {
     let plan = context.plan(request);
     if plan.rate > 0.0 {
-        return EvenShare::new(plan.rate, plan.burst, request.member_count);
+        return EvenShare::of_rate_quota(plan, request.member_count);
     }
     let capacity = f64::from(plan.max_in_flight) * request.cost_units;
     let objective_s = context.class(request).latency_objective_ms / 1000.0;
--- a/limiter/src/upstream/servers.rs
+++ b/limiter/src/upstream/servers.rs
@@ -69,14 +69,13 @@
         let permit = self.pool.borrow_mut().reserve().ok_or(ConnectError::NoPermit)?;
         let connect_timeout = duration::from_ms(self.connect_timeout_ms);
         let connected = PooledConnection::connect(address, connect_timeout, permit).await;
-        match &connected {
-            Ok(_) => {
-                Metrics::count(&engine.metrics().server_connections, ServerConnectionOutcome::Established);
-            }
-            Err(error) => {
-                Metrics::count(&engine.metrics().server_connections, error.connection_outcome());
-                tracing::debug!(%server, %address, %error, "server connection failed");
-            }
+        let outcome = match &connected {
+            Ok(_) => ServerConnectionOutcome::Established,
+            Err(error) => error.connection_outcome(),
+        };
+        Metrics::count(&engine.metrics().server_connections, outcome);
+        if let Err(error) = &connected {
+            tracing::debug!(%server, %address, %error, "server connection failed");
         }
         connected
     }
--- a/soak/src/invariants/attempts.rs
+++ b/soak/src/invariants/attempts.rs
@@ -35,8 +35,10 @@
             let earlier = &attempts[..index];
             if let Some(previous) = earlier.last() {
                 violations.extend(check_overlap(id, previous, attempt));
-                violations.extend(self.check_retry_location(id, request, earlier, attempt));
-                violations.extend(self.check_dedup_window(id, request, earlier, attempt));
+            }
+            if let Some(executed) = first_possible_execution(earlier) {
+                violations.extend(self.check_retry_location(id, request, executed, attempt));
+                violations.extend(self.check_dedup_window(id, request, executed, attempt));
             }
         }
     }
@@ -61,17 +63,17 @@
         Some(Violation::of_request(Invariant::Draining, Timing::Measured, id, description))
     }
 
-    /// Checks that a request which may have been executed is retried only as its class allows.
+    /// Checks that a request which may have been executed, by the attempt `executed`, is retried only as its
+    /// class allows.
     fn check_retry_location(
         &self,
         id: RequestId,
         request: &ClientRequest,
-        earlier: &[&Attempt],
+        executed: &Attempt,
         attempt: &Attempt,
     ) -> Option<Violation> {
-        let first = first_possible_execution(earlier)?;
         let idempotency = self.deployment.classes[request.class].idempotency;
-        let from = &self.record.servers[first.server];
+        let from = &self.record.servers[executed.server];
         let to = &self.record.servers[attempt.server];
         if may_retry(idempotency, from, to) {
             return None;
@@ -80,17 +82,17 @@
         Some(Violation::of_request(Invariant::SingleExecution, Timing::Independent, id, description))
     }
 
-    /// Checks that a request with an idempotency key is retried only while servers drop its duplicates.
+    /// Checks that a request with an idempotency key, which the attempt `executed` may have executed, is
+    /// retried only while servers drop its duplicates.
     fn check_dedup_window(
         &self,
         id: RequestId,
         request: &ClientRequest,
-        earlier: &[&Attempt],
+        executed: &Attempt,
         attempt: &Attempt,
     ) -> Option<Violation> {
-        let first = first_possible_execution(earlier)?;
         let class = &self.deployment.classes[request.class];
-        let window_end = first.last_byte_at + class.dedup_window + DEDUP_WINDOW_SLACK + HARNESS_DELAY;
+        let window_end = executed.last_byte_at + class.dedup_window + DEDUP_WINDOW_SLACK + HARNESS_DELAY;
         let has_key = matches!(class.idempotency, Idempotency::WithKey(_));
         if !has_key || attempt.last_byte_at <= window_end {
             return None;
