--- a/fault-shim/src/connections.rs
+++ b/fault-shim/src/connections.rs
@@ -1,4 +1,5 @@
-//! Calls that create sockets and connections: they fail with transient errors or are interrupted.
+//! Replacements of the calls that create sockets and connections. Some of these calls fail with transient
+//! errors or are interrupted.
 
 use libc::{c_int, sockaddr, socklen_t};
 
@@ -6,15 +7,15 @@
 use crate::plan::{plan, Fault};
 use crate::real;
 
-/// Errors with which `accept` may fail for a moment.
+/// Transient errors of `accept`.
 const ACCEPT_ERRORS: [c_int; 5] =
     [libc::ECONNABORTED, libc::EMFILE, libc::ENFILE, libc::ENOBUFS, libc::ENOMEM];
-/// Errors with which `connect` may fail for a moment, for reasons on the local host.
+/// Transient errors of `connect` that the local host causes.
 const CONNECT_ERRORS: [c_int; 3] = [libc::EADDRNOTAVAIL, libc::ENETUNREACH, libc::ENOBUFS];
-/// Errors with which `socket` may fail for a moment.
+/// Transient errors of `socket`.
 const SOCKET_ERRORS: [c_int; 4] = [libc::EMFILE, libc::ENFILE, libc::ENOBUFS, libc::ENOMEM];
 
-/// Draws the error with which an `accept` fails, or `None` if the call is passed on.
+/// Randomly returns the error with which an `accept` fails, or `None` if the original function is called.
 fn draw_accept_error() -> Option<c_int> {
     if should_inject(Fault::Interrupt) {
         return Some(libc::EINTR);
@@ -53,8 +54,8 @@
     }
 }
 
-/// Replaces the function of the C library with the same name. An interrupted connect continues in the
-/// background.
+/// Replaces the function of the C library with the same name. A connection attempt that is
+/// interrupted continues in the background.
 ///
 /// # Safety
 /// The same as for the original function.
@@ -71,7 +72,7 @@
     result
 }
 
-/// Replaces the function of the C library with the same name.
+/// Replaces the function of the C library with the same name. Only the creation of IPv4 stream sockets fails.
 ///
 /// # Safety
 /// The same as for the original function.
--- a/fault-shim/src/inject.rs
+++ b/fault-shim/src/inject.rs
@@ -1,4 +1,4 @@
-//! The random draws that decide which calls fail, and the way in which a call fails.
+//! The random draws that decide which calls fail, and the helpers that make a call fail.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
@@ -6,8 +6,8 @@
 
 use crate::plan::{plan, Fault};
 
-/// State of the random number generator that decides which calls fail. The generator is seeded by adding the
-/// seed of the plan to each state.
+/// State of the random number generator that decides which calls fail. The state starts at 0 in every
+/// process; [`random`] adds the seed of the plan to the state of each draw.
 static RANDOM: AtomicU64 = AtomicU64::new(0);
 
 /// Returns the next random number (`SplitMix64`: Steele, Lea and Flood, "Fast splittable pseudorandom number
@@ -19,7 +19,7 @@
     z ^ (z >> 31)
 }
 
-/// Draws whether the present call fails in this way.
+/// Randomly decides whether to inject a fault into the current call.
 pub(crate) fn should_inject(fault: Fault) -> bool {
     let per_mille = plan().per_mille(fault);
     per_mille > 0 && random() % 1000 < per_mille
@@ -31,7 +31,7 @@
     unsafe { *libc::__errno_location() = errno };
 }
 
-/// Sets `errno` and returns the result of a failed call.
+/// Sets `errno` and returns -1, the result of a failed call.
 pub(crate) fn fail(errno: c_int) -> c_int {
     set_errno(errno);
     -1
@@ -43,7 +43,7 @@
     unsafe { *libc::__errno_location() }
 }
 
-/// Draws one of several error numbers.
+/// Returns a random one of several error numbers.
 pub(crate) fn random_error(errors: &[c_int]) -> c_int {
     errors[random() as usize % errors.len()]
 }
--- a/fault-shim/src/real.rs
+++ b/fault-shim/src/real.rs
@@ -7,29 +7,29 @@
     c_int, c_void, clockid_t, epoll_event, iovec, msghdr, size_t, sockaddr, socklen_t, ssize_t, timespec,
 };
 
-/// Returns the address of a function, and stores it in `found` for the next call.
-fn resolve(name: &CStr, found: &AtomicPtr<c_void>) -> *mut c_void {
-    let known = found.load(Ordering::Relaxed);
-    if !known.is_null() {
-        return known;
+/// Returns the address of a function from `cache`, or looks the address up and stores it in `cache`.
+fn resolve(name: &CStr, cache: &AtomicPtr<c_void>) -> *mut c_void {
+    let cached = cache.load(Ordering::Relaxed);
+    if !cached.is_null() {
+        return cached;
     }
     // SAFETY: the name is a C string.
-    let pointer = unsafe { libc::dlsym(libc::RTLD_NEXT, name.as_ptr()) };
-    assert!(!pointer.is_null(), "the C library has no {name:?}");
-    found.store(pointer, Ordering::Relaxed);
-    pointer
+    let address = unsafe { libc::dlsym(libc::RTLD_NEXT, name.as_ptr()) };
+    assert!(!address.is_null(), "the C library has no {name:?}");
+    cache.store(address, Ordering::Relaxed);
+    address
 }
 
 /// Defines, for each function of the C library, a function of the same name that returns the original.
 macro_rules! real {
     ($($name:ident: fn($($type:ty),*) -> $result:ty;)*) => {$(
         pub(crate) fn $name() -> unsafe extern "C" fn($($type),*) -> $result {
-            static FOUND: AtomicPtr<c_void> = AtomicPtr::new(std::ptr::null_mut());
+            static ADDRESS: AtomicPtr<c_void> = AtomicPtr::new(std::ptr::null_mut());
             const NAME: &str = concat!(stringify!($name), "\0");
             let name = CStr::from_bytes_with_nul(NAME.as_bytes()).expect("one NUL at the end");
-            let pointer = resolve(name, &FOUND);
+            let address = resolve(name, &ADDRESS);
             // SAFETY: the function of this name has this signature.
-            unsafe { std::mem::transmute::<*mut c_void, unsafe extern "C" fn($($type),*) -> $result>(pointer) }
+            unsafe { std::mem::transmute::<*mut c_void, unsafe extern "C" fn($($type),*) -> $result>(address) }
         }
     )*};
 }
--- a/fault-shim/src/transfers.rs
+++ b/fault-shim/src/transfers.rs
@@ -1,4 +1,5 @@
-//! Calls that transfer bytes: they are interrupted or cut short, and resets are reported as other errors.
+//! Replacements of the calls that transfer bytes. Some transfers are interrupted or cut short, and some
+//! resets are reported as other errors.
 
 use libc::{c_int, c_void, iovec, msghdr, size_t, sockaddr, socklen_t, ssize_t};
 
@@ -19,21 +20,21 @@
     (result == 0).then_some(value)
 }
 
-/// What happens to a transfer on a descriptor.
+/// The fault to inject into a transfer on a descriptor.
 enum TransferFault {
-    /// The transfer is passed on unchanged.
+    /// The transfer is not changed.
     None,
     /// The transfer is limited to this number of bytes.
     Short(size_t),
-    /// The transfer fails with EINTR before any byte.
+    /// The transfer fails with EINTR before any byte is transferred.
     Interrupted,
 }
 
 /// Largest number of bytes to which a transfer is cut short.
 const MAX_SHORT_BYTES: size_t = 64;
 
-/// Draws what happens to a transfer of `length` bytes. Only sockets are affected, and only streams are cut
-/// short.
+/// Randomly chooses the fault of a transfer of `length` bytes. Only transfers on sockets have faults, and
+/// only those on stream sockets are cut short.
 fn draw_transfer_fault(fd: c_int, length: size_t) -> TransferFault {
     let Some(kind) = socket_type(fd) else { return TransferFault::None };
     if should_inject(Fault::Interrupt) {
@@ -45,7 +46,7 @@
     }
 }
 
-/// Replaces the error of some calls that failed because of a reset by other errors that Linux reports for a
+/// Replaces the error of some calls that failed because of a reset by another error that Linux reports for a
 /// broken connection. Returns `result` unchanged.
 fn vary_reset(result: ssize_t) -> ssize_t {
     if result < 0 && errno() == libc::ECONNRESET && should_inject(Fault::Broken) {
@@ -68,7 +69,7 @@
                 TransferFault::Short(length) => length,
                 TransferFault::None => length,
             };
-            // SAFETY: the arguments are the caller's, with at most its length.
+            // SAFETY: the arguments are the caller's, and `length` is at most the caller's.
             vary_reset(unsafe { real::$name()(fd, buffer, length $(, $argument)*) })
         }
     )*};
@@ -97,7 +98,7 @@
                 // SAFETY: the arguments are the caller's.
                 return unsafe { real::$name()(fd, buffers, count) };
             }
-            // SAFETY: the caller has `count` buffers, at least one.
+            // SAFETY: the caller passes `count` buffers, at least one.
             let first = unsafe { *buffers };
             match draw_transfer_fault(fd, first.iov_len) {
                 TransferFault::Interrupted => fail(libc::EINTR) as ssize_t,
@@ -118,8 +119,8 @@
     writev;
 }
 
-/// Replaces the function of the C library with the same name. Calls are interrupted and resets are varied,
-/// but no transfer is cut short.
+/// Replaces the function of the C library with the same name. Some calls are interrupted and some resets
+/// are reported as other errors, but no transfer is cut short.
 ///
 /// # Safety
 /// The same as for the original function.
@@ -132,8 +133,8 @@
     vary_reset(unsafe { real::recvmsg()(fd, message, flags) })
 }
 
-/// Replaces the function of the C library with the same name. Calls are interrupted and resets are varied,
-/// but no transfer is cut short.
+/// Replaces the function of the C library with the same name. Some calls are interrupted and some resets
+/// are reported as other errors, but no transfer is cut short.
 ///
 /// # Safety
 /// The same as for the original function.
--- a/fault-shim/src/waits.rs
+++ b/fault-shim/src/waits.rs
@@ -1,4 +1,5 @@
-//! Waits for events, which are interrupted, and reads of the wall clock, which is stepped.
+//! Replacements of `epoll_wait`, of which some calls are interrupted, and of `clock_gettime`, which reads a
+//! stepped wall clock.
 
 use libc::{c_int, clockid_t, epoll_event, timespec};
 
@@ -6,7 +7,7 @@
 use crate::plan::{plan, Fault};
 use crate::real;
 
-/// Replaces the function of the C library with the same name.
+/// Replaces the function of the C library with the same name. Some calls are interrupted.
 ///
 /// # Safety
 /// The same as for the original function.
@@ -24,7 +25,8 @@
     unsafe { real::epoll_wait()(fd, events, max_events, timeout) }
 }
 
-/// Replaces the function of the C library with the same name. Steps the wall clocks.
+/// Replaces the function of the C library with the same name. Shifts the wall clocks by the
+/// offset of the [`FaultPlan`](crate::plan::FaultPlan).
 ///
 /// # Safety
 /// The same as for the original function.
@@ -34,7 +36,7 @@
     let result = unsafe { real::clock_gettime()(clock, time) };
     let is_wall_clock = clock == libc::CLOCK_REALTIME || clock == libc::CLOCK_REALTIME_COARSE;
     if result == 0 && is_wall_clock {
-        // SAFETY: the call has succeeded, so that `time` is valid.
+        // SAFETY: the call has succeeded, so `time` is valid.
         unsafe { (*time).tv_sec += plan().wall_clock_offset_s() };
     }
     result
