--- a/simulator-adapter/src/convert/action.rs
+++ b/simulator-adapter/src/convert/action.rs
@@ -7,10 +7,10 @@
 use crate::hex;
 use crate::wire::action::OutboundMessage;
 
-/// The limiter bounds attempts with its own timers, so that the simulator need not time them out.
+/// Tells the simulator not to time attempts out, because the limiter bounds them with its own timers.
 const NO_ATTEMPT_TIMEOUT_MS: Millis = 0.0;
 
-/// Returns the message with which an instance requests an action.
+/// Returns the message that requests an action of an instance from the simulator.
 pub(crate) fn outbound_message(limiter_id: Arc<str>, action: Action) -> OutboundMessage {
     match action {
         Action::Forward { id, server, .. } => OutboundMessage::Forward {
@@ -33,13 +33,15 @@
             OutboundMessage::SendGossip { limiter_id, to, body: hex::encode(&body) }
         }
         Action::SubscribeToEndpoints => OutboundMessage::WatchEndpoints { limiter_id, enabled: true },
-        Action::LogEjection(ejection) => OutboundMessage::Log { limiter_id, text: ejection_text(&ejection) },
+        Action::LogEjection(ejection) => {
+            OutboundMessage::Log { limiter_id, text: format_ejection(&ejection) }
+        }
     }
 }
 
-/// Returns the log text of an ejection. The simulator records and compares this text, so that it cannot
-/// follow the terms of `limiter-core`.
-fn ejection_text(ejection: &Ejection) -> String {
+/// Returns the log text of an ejection. The simulator records and compares this text; therefore the wording
+/// stays, although `limiter-core` uses other terms.
+fn format_ejection(ejection: &Ejection) -> String {
     let reason = match ejection.reason {
         EjectionReason::Errors => "failing",
         EjectionReason::NoResponse => "silent",
--- a/simulator-adapter/src/convert/event.rs
+++ b/simulator-adapter/src/convert/event.rs
@@ -8,7 +8,7 @@
 use crate::names::{NameIndex, UnknownName};
 use crate::wire::event::{AttemptEnd, EndpointCondition, EndpointEntry, OutcomeCode, RequestArrival};
 
-/// Returns the request of an arrival.
+/// Returns the request that has arrived.
 ///
 /// # Errors
 /// The class or plan is unknown, or the customer is not a number in hex digits.
@@ -17,7 +17,7 @@
         id: arrival.request_id,
         class: names.class(&arrival.class)?,
         plan: names.plan(&arrival.plan)?,
-        customer: customer_id(&arrival.customer)?,
+        customer: parse_customer_id(&arrival.customer)?,
         timeout_ms: arrival.timeout_ms,
         waited_ms: 0.0,
         cost_units: arrival.cost_units,
@@ -26,12 +26,12 @@
     })
 }
 
-fn customer_id(text: &str) -> Result<CustomerId, MessageError> {
+fn parse_customer_id(text: &str) -> Result<CustomerId, MessageError> {
     CustomerId::from_str_radix(text, 16).map_err(|_| MessageError::InvalidCustomer(text.to_string()))
 }
 
 /// Returns the event for the end of an attempt.
-pub(crate) fn attempt_ended(end: &AttemptEnd) -> Event {
+pub(crate) fn attempt_ended_event(end: &AttemptEnd) -> Event {
     Event::AttemptEnded {
         id: end.request_id,
         attempt: end.attempt,
@@ -42,7 +42,7 @@
     }
 }
 
-/// Returns an announced server.
+/// Returns the endpoint of an announced server.
 ///
 /// # Errors
 /// The zone is unknown.
--- a/simulator-adapter/src/convert/settings.rs
+++ b/simulator-adapter/src/convert/settings.rs
@@ -14,12 +14,12 @@
     /// The zone of the limiter is not in the list of zones.
     #[error(transparent)]
     UnknownZone(#[from] UnknownName),
-    /// Requests of this class carry idempotency keys, and no scope is set for them.
+    /// The requests of this class carry idempotency keys, and the class has no deduplication scope.
     #[error("class '{0}' is keyed without KeyScope")]
     MissingKeyScope(String),
 }
 
-/// Settings in the form of `limiter-core`, with the names that their JSON form uses.
+/// The settings in the form of `limiter-core`, with an index of the names that the JSON form uses.
 pub struct CoreSettings {
     /// The settings.
     pub settings: Settings,
@@ -28,11 +28,11 @@
 }
 
 impl InstanceSettings {
-    /// Returns the settings of `limiter-core`, and the index of the names in them. Only
-    /// [`Settings::validate`] checks the values themselves.
+    /// Converts to the settings of `limiter-core`, with the index of their names. The values themselves are
+    /// not checked here, but by [`Settings::validate`].
     ///
     /// # Errors
-    /// The first contradiction between two values.
+    /// Returns the first contradiction between two values.
     pub fn into_core(self) -> Result<CoreSettings, SettingsJsonError> {
         let names = self.name_index();
         let classes = self.classes.iter().map(request_class).collect::<Result<Vec<_>, _>>()?;
--- a/simulator-adapter/src/error.rs
+++ b/simulator-adapter/src/error.rs
@@ -1,4 +1,4 @@
-//! The errors that end the adapter. Their texts name messages and keys as the wire does.
+//! The errors that make the adapter exit. Their texts use the wire's names of messages and keys.
 
 use std::io;
 
@@ -9,7 +9,7 @@
 use crate::hex::HexError;
 use crate::names::UnknownName;
 
-/// A line of input that cannot be handled. The adapter stops at the first one.
+/// The error for a line of input that cannot be handled. The adapter exits at the first such line.
 #[derive(Debug, Error)]
 #[error("line {line}: {source}")]
 pub struct AdapterError {
@@ -18,7 +18,7 @@
     pub(crate) source: LineError,
 }
 
-/// Why a line cannot be answered.
+/// The reason why a line cannot be answered.
 #[derive(Debug, Error)]
 pub(crate) enum LineError {
     /// The line cannot be read, or its reply cannot be written.
@@ -36,7 +36,7 @@
     },
 }
 
-/// Why a message cannot be handled.
+/// The reason why a message cannot be handled.
 #[derive(Debug, Error)]
 pub(crate) enum MessageError {
     /// The message is addressed to an instance that is not running.
--- a/simulator-adapter/src/hex.rs
+++ b/simulator-adapter/src/hex.rs
@@ -2,7 +2,7 @@
 
 use thiserror::Error;
 
-/// The digits in the order of their values.
+/// The hex digits in the order of their values.
 const DIGITS: &[u8; 16] = b"0123456789abcdef";
 
 /// The text is not a sequence of pairs of hex digits.
@@ -19,7 +19,7 @@
 /// Decodes digits of either case.
 ///
 /// # Errors
-/// The text has an odd length or contains another character than hex digits.
+/// The text has an odd length or contains a character that is not a hex digit.
 pub(crate) fn decode(text: &str) -> Result<Vec<u8>, HexError> {
     let digits: Option<Vec<u8>> = text.chars().map(digit_value).collect();
     match digits {
--- a/simulator-adapter/src/host.rs
+++ b/simulator-adapter/src/host.rs
@@ -1,4 +1,4 @@
-//! Owns the instances and the endpoint pages, and delivers each message to its instance.
+//! Hosts the instances: owns them and the endpoint pages, and delivers each message to its instance.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -6,7 +6,7 @@
 use limiter_core::{Action, Endpoint, Event, Limiter, Millis, TimerToken};
 
 use crate::convert::action::outbound_message;
-use crate::convert::event::{attempt_ended, endpoint, request};
+use crate::convert::event::{attempt_ended_event, endpoint, request};
 use crate::convert::settings::CoreSettings;
 use crate::error::{LineError, MessageError};
 use crate::hex;
@@ -15,7 +15,7 @@
 use crate::wire::event::{EndpointEntry, EndpointScope, InboundBatch, InboundMessage, RequestArrival};
 use crate::wire::settings::InstanceSettings;
 
-/// A limiter with the names of its settings.
+/// A running limiter, with the index of the names in its settings.
 struct Instance {
     id: Arc<str>,
     names: NameIndex,
@@ -28,12 +28,12 @@
     instances: BTreeMap<String, Instance>,
     /// Endpoint lists by page number. A page that is sent again replaces the earlier one.
     endpoint_pages: BTreeMap<u32, Vec<EndpointEntry>>,
-    /// Empty between messages; reused to avoid allocations.
+    /// The actions of the message in progress. Empty between messages; reused to avoid allocations.
     actions: Vec<Action>,
 }
 
 impl Host {
-    /// Handles the messages of a batch in order, and returns the replies.
+    /// Handles the messages of a batch in order, and returns the batch of the replies.
     pub(crate) fn handle_batch(&mut self, batch: InboundBatch) -> Result<OutboundBatch, LineError> {
         let mut messages = Vec::new();
         for (index, message) in batch.messages.into_iter().enumerate() {
@@ -59,18 +59,18 @@
                 Ok(())
             }
             InboundMessage::EndpointsChanged { limiter_id, scope, page } => {
-                let event = self.endpoints_changed(&limiter_id, scope, page)?;
+                let event = self.endpoints_changed_event(&limiter_id, scope, page)?;
                 self.deliver(now, &limiter_id, event, replies)
             }
             InboundMessage::RequestArrived(arrival) => {
-                let event = self.request_arrived(&arrival)?;
+                let event = self.request_arrived_event(&arrival)?;
                 self.deliver(now, &arrival.limiter_id, event, replies)
             }
             InboundMessage::ResponseStarted { limiter_id, request_id } => {
                 self.deliver(now, &limiter_id, Event::ResponseStarted { id: request_id }, replies)
             }
             InboundMessage::AttemptEnded(end) => {
-                self.deliver(now, &end.limiter_id, attempt_ended(&end), replies)
+                self.deliver(now, &end.limiter_id, attempt_ended_event(&end), replies)
             }
             InboundMessage::ClientDisconnected { limiter_id, request_id } => {
                 self.deliver(now, &limiter_id, Event::ClientDisconnected { id: request_id }, replies)
@@ -82,13 +82,13 @@
                 let body = hex::decode(&body)?;
                 self.deliver(now, &limiter_id, Event::GossipReceived { from, body }, replies)
             }
-            InboundMessage::ProbeEnded { limiter_id, .. }
+            InboundMessage::HealthCheckEnded { limiter_id, .. }
             | InboundMessage::CounterRead { limiter_id, .. } => self.ignore_message(&limiter_id),
         }
     }
 
     /// Checks that an instance exists and ignores a message to it. Limiters send no health checks and do not
-    /// use the shared counter, so that the results of either have no effect.
+    /// use the shared counter, so the results of both have no effect.
     fn ignore_message(&self, limiter_id: &str) -> Result<(), MessageError> {
         self.instance(limiter_id).map(|_| ())
     }
@@ -111,12 +111,12 @@
         self.instances.remove(limiter_id).map(|_| ()).ok_or_else(|| unknown_instance(limiter_id))
     }
 
-    fn request_arrived(&self, arrival: &RequestArrival) -> Result<Event, MessageError> {
+    fn request_arrived_event(&self, arrival: &RequestArrival) -> Result<Event, MessageError> {
         let instance = self.instance(&arrival.limiter_id)?;
         Ok(Event::RequestArrived(request(arrival, &instance.names)?))
     }
 
-    /// Delivers a timer event. A number that does not encode a token has no effect, but the instance has to
+    /// Delivers a timer event. A number that does not encode a token is ignored, but the instance has to
     /// exist.
     fn fire_timer(
         &mut self,
@@ -131,7 +131,7 @@
         }
     }
 
-    fn endpoints_changed(
+    fn endpoints_changed_event(
         &self,
         limiter_id: &str,
         scope: EndpointScope,
@@ -142,14 +142,15 @@
             return Ok(Event::WatchFailed);
         }
         let page = page.ok_or(MessageError::MissingPage)?;
-        let records = self.endpoint_pages.get(&page).ok_or(MessageError::UnknownPage(page))?;
-        let endpoints = records
+        let entries = self.endpoint_pages.get(&page).ok_or(MessageError::UnknownPage(page))?;
+        let endpoints = entries
             .iter()
-            .map(|record| endpoint(record, &instance.names))
+            .map(|entry| endpoint(entry, &instance.names))
             .collect::<Result<Arc<[Endpoint]>, _>>()?;
         Ok(Event::EndpointsChanged { complete: scope != EndpointScope::Delta, endpoints })
     }
 
+    /// Delivers an event to an instance, and appends the messages for the resulting actions to `replies`.
     fn deliver(
         &mut self,
         now: Millis,
--- a/simulator-adapter/src/lib.rs
+++ b/simulator-adapter/src/lib.rs
@@ -2,8 +2,9 @@
 //! of messages to the instances; each line of output is the batch of their replies. The adapter makes no
 //! decisions.
 //!
-//! Begin with [`serve()`], the loop over lines. `host` owns the instances and delivers messages to them,
-//! `wire` declares the JSON messages, and `convert` translates between these and the types of `limiter-core`.
+//! The entry point is [`serve()`], the loop over lines. `host` owns the instances and delivers messages to
+//! them, `wire` declares the JSON messages, and `convert` translates between these and the types of
+//! `limiter-core`.
 //!
 //! The program `limiter` reads its [`InstanceSettings`] from the same JSON form.
 #![forbid(unsafe_code)]
--- a/simulator-adapter/src/names.rs
+++ b/simulator-adapter/src/names.rs
@@ -1,12 +1,12 @@
-//! The index of names. Classes, plans and zones have names in the settings and on the wire, and indexes in
-//! `limiter-core`.
+//! Maps the names of classes, plans and zones, which the settings and the wire use, to the indexes that
+//! `limiter-core` uses.
 
 use std::collections::BTreeMap;
 use std::fmt;
 
 use thiserror::Error;
 
-/// What a name denotes.
+/// The kind of thing that a name denotes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NameKind {
     /// A request class.
@@ -31,7 +31,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error("unknown {kind} '{name}'")]
 pub struct UnknownName {
-    /// What the name was expected to denote.
+    /// The kind of thing that the name was expected to denote.
     pub kind: NameKind,
     /// The name.
     pub name: String,
@@ -45,7 +45,8 @@
 }
 
 impl NameIndex {
-    /// Numbers the names of each kind in the given order. Of equal names the last one counts.
+    /// Numbers the names of each kind from 0 in the given order. A name that occurs more than once maps to
+    /// its last position.
     pub(crate) fn new<'a>(
         classes: impl Iterator<Item = &'a str>,
         plans: impl Iterator<Item = &'a str>,
--- a/simulator-adapter/src/serve.rs
+++ b/simulator-adapter/src/serve.rs
@@ -1,4 +1,4 @@
-//! The loop over the lines of input: reads one batch per line and writes one reply per line.
+//! The loop over the lines of input: reads one batch per line, and writes its reply as one line.
 
 use std::io::{self, BufRead, Write};
 
@@ -9,7 +9,7 @@
 /// Answers each line of `input` with one line of `output`, which is flushed before the next line is read.
 ///
 /// # Errors
-/// Fails at the first line that cannot be read, parsed or answered. Nothing is written in reply to that line.
+/// Fails at the first line that cannot be read, parsed or answered. That line gets no reply.
 pub fn serve(input: impl BufRead, mut output: impl Write) -> Result<(), AdapterError> {
     let mut host = Host::default();
     for (index, line) in input.lines().enumerate() {
--- a/simulator-adapter/src/wire.rs
+++ b/simulator-adapter/src/wire.rs
@@ -1,4 +1,5 @@
-//! The simulator's JSON as it is written. Its keys and values stand here alone; errors quote them.
+//! The JSON messages of the simulator. Only these modules define the keys and values of the wire; error texts
+//! quote them.
 
 pub(crate) mod action;
 pub(crate) mod event;
--- a/simulator-adapter/src/wire/action.rs
+++ b/simulator-adapter/src/wire/action.rs
@@ -1,5 +1,5 @@
-//! Messages from the instances to the simulator. Times are milliseconds. Keys are written in the order of the
-//! fields.
+//! Messages from the instances to the simulator. Times are in milliseconds. Keys are written in the order of
+//! the fields.
 
 use std::sync::Arc;
 
@@ -9,7 +9,7 @@
 /// One line of output.
 #[derive(Serialize)]
 pub(crate) struct OutboundBatch {
-    /// Number of the batch that this answers.
+    /// Number of the batch that this batch answers.
     #[serde(rename = "turn")]
     pub sequence: u64,
     /// The messages of all instances, in the order of the messages that caused them.
@@ -17,17 +17,17 @@
     pub messages: Vec<OutboundMessage>,
 }
 
-/// What an instance does.
+/// An action that an instance requests.
 #[derive(Serialize)]
 #[serde(tag = "m", rename_all_fields = "PascalCase")]
 pub(crate) enum OutboundMessage {
-    /// Forward a request to a server: its next attempt.
+    /// Forward a request to a server, as its next attempt.
     #[serde(rename = "PASS_ON")]
     Forward {
         limiter_id: Arc<str>,
         #[serde(rename = "Ticket")]
         request_id: RequestId,
-        /// End the attempt after this time; 0 for no such limit.
+        /// Time after which the simulator ends the attempt; 0 for no timeout.
         #[serde(rename = "CapMs")]
         attempt_timeout_ms: Millis,
         server: Arc<str>,
@@ -41,17 +41,17 @@
         #[serde(rename = "Trial")]
         attempt: u32,
     },
-    /// Final response: not served, and a retry by the client is safe.
+    /// Send the final response: the request was not served, and the client may safely retry.
     #[serde(rename = "DECLINE")]
     Reject {
         limiter_id: Arc<str>,
         #[serde(rename = "Ticket")]
         request_id: RequestId,
-        /// When the client should retry; 0 for no advice.
+        /// Time after which the client should retry; 0 for no advice.
         #[serde(rename = "BackoffMs")]
         retry_after_ms: Millis,
     },
-    /// Final response: an error. The request may have been executed.
+    /// Send the final response: an error. The request may have been executed.
     #[serde(rename = "LOSE")]
     Fail {
         limiter_id: Arc<str>,
--- a/simulator-adapter/src/wire/event.rs
+++ b/simulator-adapter/src/wire/event.rs
@@ -1,6 +1,6 @@
-//! Messages from the simulator to the instances. Times are milliseconds, costs quota units.
+//! Messages from the simulator to the instances. Times are in milliseconds and costs in quota units.
 //!
-//! Some fields are declared although nothing reads them, so that a value of the wrong type is an error.
+//! Some fields are declared although no code reads them, so that a value of the wrong type is an error.
 //! Undeclared fields are ignored.
 
 use limiter_core::{Millis, RequestId};
@@ -22,7 +22,7 @@
     pub messages: Vec<InboundMessage>,
 }
 
-/// A message to one instance or, with [`InboundMessage::EndpointPage`], to all.
+/// A message to one instance or, in the case of [`InboundMessage::EndpointPage`], to all instances.
 #[derive(Deserialize)]
 #[serde(tag = "m", rename_all_fields = "PascalCase")]
 pub(crate) enum InboundMessage {
@@ -30,7 +30,7 @@
     #[serde(rename = "NEW_INSTANCE")]
     StartInstance {
         limiter_id: String,
-        /// Seeds its random numbers.
+        /// Seeds the random numbers of the instance.
         seed: u64,
         #[serde(rename = "Setup")]
         settings: Box<InstanceSettings>,
@@ -38,7 +38,7 @@
     /// Stop an instance.
     #[serde(rename = "DOWN")]
     StopInstance { limiter_id: String },
-    /// Endpoints that later messages refer to by the number of this page.
+    /// Define a page of endpoints, to which later messages refer by its number.
     #[serde(rename = "CENSUS")]
     EndpointPage {
         page: u32,
@@ -48,7 +48,7 @@
     /// Discovery announces the endpoints of a page, or has failed.
     #[serde(rename = "BACKENDS_CHANGED")]
     EndpointsChanged { limiter_id: String, scope: EndpointScope, page: Option<u32> },
-    /// A client request arrived.
+    /// A client request has arrived.
     #[serde(rename = "WORK_ITEM")]
     RequestArrived(Box<RequestArrival>),
     /// The response of a request has begun to stream.
@@ -58,7 +58,7 @@
         #[serde(rename = "Ticket")]
         request_id: RequestId,
     },
-    /// An attempt ended.
+    /// An attempt has ended.
     #[serde(rename = "ATTEMPT_END")]
     AttemptEnded(Box<AttemptEnd>),
     /// The client of a request has disconnected.
@@ -68,7 +68,7 @@
         #[serde(rename = "Ticket")]
         request_id: RequestId,
     },
-    /// A timer fired.
+    /// A timer has fired.
     #[serde(rename = "TIMEOUT_FIRED")]
     TimerFired {
         limiter_id: String,
@@ -76,17 +76,17 @@
         #[serde(rename = "KeyBack")]
         token: u64,
     },
-    /// A probe of a server ended; instances send none.
+    /// A health check of a server has ended; instances send none.
     #[serde(rename = "STATUS_BACK")]
     #[expect(dead_code, reason = "parsed to find malformed values")]
-    ProbeEnded {
+    HealthCheckEnded {
         limiter_id: String,
         server: String,
         outcome: OutcomeCode,
         #[serde(rename = "Telemetry")]
         load_report: Option<LoadReport>,
     },
-    /// A gossip message arrived from another instance.
+    /// A gossip message has arrived from another instance.
     #[serde(rename = "HEARD")]
     GossipReceived {
         limiter_id: String,
@@ -96,7 +96,7 @@
         /// The encoded message in hex digits.
         body: String,
     },
-    /// The shared counter was read; instances do not use it.
+    /// A read of the shared counter has ended; instances do not use the counter.
     #[serde(rename = "TOTAL")]
     #[expect(dead_code, reason = "parsed to find malformed values")]
     CounterRead {
@@ -156,13 +156,13 @@
     /// How long the attempt took.
     #[serde(rename = "DurationMs")]
     pub elapsed_ms: Millis,
-    /// Whether the request has its final response or needs none any more.
+    /// Whether the request has received its final response, or no longer needs one.
     #[serde(rename = "NoMore", default)]
     pub request_finished: bool,
     /// The actual cost of the request in quota units.
     #[serde(rename = "Actual")]
     pub actual_units: Option<f64>,
-    /// The load of the server, which the decisions do not use.
+    /// The load report of the server, which no decision uses.
     #[serde(rename = "Telemetry")]
     #[expect(dead_code, reason = "parsed to find malformed values")]
     pub load_report: Option<LoadReport>,
@@ -189,15 +189,15 @@
     /// Name of the zone.
     #[serde(rename = "Site")]
     pub zone: String,
-    /// The cell; 0 if there are no cells.
+    /// The cell; 0 or absent if there are no cells.
     #[serde(rename = "Stripe")]
     pub cell: Option<u32>,
-    /// Whether the server takes requests.
+    /// Whether the server accepts requests.
     #[serde(rename = "Condition")]
     pub state: EndpointCondition,
-    /// The capacity relative to the other servers; 0 if it is left out.
+    /// The capacity relative to the other servers; absent means 0.
     pub weight: Option<f64>,
-    /// When the server last started; 0 if it has been running for long.
+    /// When the server last started; 0 or absent if that was long ago.
     #[serde(rename = "StartTimeMs")]
     pub started_at_ms: Option<Millis>,
 }
@@ -221,13 +221,13 @@
     Delta,
     /// All endpoints.
     Full,
-    /// All endpoints, as they were last known.
+    /// All endpoints in their last known state.
     Cached,
     /// No endpoints: discovery has failed.
     Failed,
 }
 
-/// How an attempt, a probe or a read of the shared counter ended.
+/// How an attempt, a health check or a read of the shared counter ended.
 #[derive(Deserialize, Clone, Copy)]
 pub(crate) enum OutcomeCode {
     #[serde(rename = "completed")]
--- a/simulator-adapter/src/wire/settings.rs
+++ b/simulator-adapter/src/wire/settings.rs
@@ -1,5 +1,5 @@
 //! The settings of an instance, in the JSON form of the simulator and of the configuration file of the
-//! program `limiter`. Times are milliseconds, costs quota units.
+//! program `limiter`. Times are in milliseconds and costs in quota units.
 
 use limiter_core::Millis;
 use serde::Deserialize;
@@ -11,7 +11,7 @@
     /// Number of limiters in front of the servers.
     #[serde(rename = "Balancers")]
     pub(crate) limiters: u32,
-    /// Position of this limiter among them, starting at 0.
+    /// Position of this limiter among the limiters, starting at 0.
     pub(crate) position: u32,
     /// Name of the zone of this limiter.
     pub(crate) zone: String,
@@ -62,16 +62,16 @@
     /// Whether a request may be executed more than once.
     #[serde(rename = "Effect")]
     pub(crate) idempotency: IdempotencyKind,
-    /// Which servers drop duplicates together; required with [`IdempotencyKind::WithKey`].
+    /// Which servers share the deduplication of requests; required with [`IdempotencyKind::WithKey`].
     #[serde(rename = "KeyScope")]
     pub(crate) dedup_scope: Option<DedupScopeKind>,
-    /// Fraction of its value that a response after the latency objective still has.
+    /// Fraction of its full value that a response has after the latency objective.
     #[serde(rename = "LateWorth", default)]
     pub late_value: f64,
     /// For how long servers drop duplicates.
     #[serde(rename = "WindowMs", default)]
     pub(crate) dedup_window_ms: Millis,
-    /// How long, in milliseconds, a client waits at most, where the settings say so.
+    /// Longest time, in milliseconds, that a client waits for a response; absent if the settings name none.
     pub deadline_ms: Option<Millis>,
 }
 
@@ -86,7 +86,7 @@
     NonIdempotent,
 }
 
-/// Which servers share the record of the idempotency keys that they have seen.
+/// Which servers share their records of seen idempotency keys.
 #[derive(Deserialize, Clone, Copy)]
 #[serde(rename_all = "snake_case")]
 pub(crate) enum DedupScopeKind {
@@ -98,18 +98,19 @@
     Cell,
 }
 
-/// A plan: the quotas of each customer on it. A quota or ceiling that is left out is 0 and does not apply.
+/// A plan, which sets the quotas of each of its customers. An absent quota or ceiling is 0 and does not
+/// apply.
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "PascalCase", default)]
 pub(crate) struct PlanSettings {
     /// The name.
     pub name: String,
-    /// Units a second.
+    /// Units a second of the quota.
     pub rate: f64,
     /// Capacity of the quota's token bucket in units.
     #[serde(rename = "StoreSize")]
     pub burst: f64,
-    /// Attempts in flight at once.
+    /// Largest number of attempts in flight.
     #[serde(rename = "AtOnce")]
     pub max_in_flight: u32,
     /// Units a second of the hard ceiling.
@@ -122,30 +123,30 @@
     pub ceiling_slack: f64,
 }
 
-/// What a site supports and allows. A capability that is left out is not available.
+/// What a site supports and allows. An absent capability is not available.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct SiteCapabilities {
-    /// Most attempts for one request, the first included.
+    /// Largest number of attempts for one request, including the first.
     #[serde(rename = "MostTries")]
     pub(crate) max_attempts: u32,
-    /// Timeout of a connect to a server.
+    /// Timeout for connecting to a server.
     #[serde(rename = "DialTimeoutMs")]
     pub(crate) connect_timeout_ms: Millis,
-    /// Health checks may be sent to servers; limiters send none.
+    /// Whether health checks may be sent to servers; limiters send none.
     #[serde(rename = "Probes", default)]
     #[expect(dead_code, reason = "parsed to find malformed values")]
-    pub(crate) can_probe: bool,
-    /// Gossip messages may be sent to other limiters.
+    pub(crate) can_send_health_checks: bool,
+    /// Whether gossip messages may be sent to other limiters.
     #[serde(rename = "MayTell", default)]
     pub(crate) can_gossip: bool,
-    /// Attempts may be cancelled.
+    /// Whether attempts may be cancelled.
     #[serde(rename = "Cancelling", default)]
     pub(crate) can_cancel: bool,
-    /// Rejections may carry a `Retry-After`.
+    /// Whether rejections may carry a `Retry-After` header.
     #[serde(rename = "RetryAfter", default)]
     pub(crate) can_send_retry_after: bool,
-    /// A server closes a connection after this idle time in milliseconds; absent on sites without
+    /// Idle time, in milliseconds, after which a server closes a connection; absent on sites without
     /// connections.
     #[serde(rename = "IdleCloseMs")]
     pub server_idle_timeout_ms: Option<Millis>,
@@ -154,16 +155,16 @@
 /// How servers warm up after a start.
 #[derive(Deserialize)]
 pub(crate) struct SlowStartSettings {
-    /// Minimum fraction of its capacity that a server has when it starts.
+    /// Smallest capacity of a server that has just started, as a fraction of its full capacity.
     #[serde(rename = "StartCapacity")]
     pub cold_capacity_fraction: f64,
     /// Time after its start at which a server has its full capacity.
     #[serde(rename = "ColdMs")]
     pub slow_start_ms: Millis,
-    /// A server in slow start fails under a sustained load of this multiple of its present capacity.
+    /// Sustained load that makes a server fail during slow start, as a multiple of its capacity at the time.
     #[serde(rename = "FallMultiple")]
     pub overload_factor: f64,
-    /// How long an overload lasts before a server in slow start fails.
+    /// How long an overload has to last to make a server fail during slow start.
     #[serde(rename = "TipAfterMs")]
     pub overload_ms: Millis,
 }
@@ -174,7 +175,7 @@
     /// Gossip messages per second that one limiter accepts.
     #[serde(rename = "MailPerS")]
     pub(crate) gossip_messages_per_s: f64,
-    /// Most units that one request may cost, where the settings say so.
+    /// Largest number of units that one request may cost; absent if the settings name none.
     #[serde(rename = "UnitsTop")]
     pub max_request_units: Option<f64>,
 }
