--- a/simulator-adapter/tests/pinned_bytes.rs
+++ b/simulator-adapter/tests/pinned_bytes.rs
@@ -1,273 +1,279 @@
-//! Pins what the adapter writes, byte for byte: each reply line and each peer message in it.
+//! Compares the output of the adapter byte by byte with golden files: each reply line, including the encoded
+//! gossip messages.
 //!
-//! `golden/NAME.in.jsonl` is fed to the binary, and `golden/NAME.out.jsonl` is what it has to write. Nothing
-//! here uses a type of the project, so that names in the code may change while the bytes may not. Only the
-//! text of a REMARK, which is for people, is masked.
+//! The input of a case is `golden/NAME.in.jsonl`, and the expected output is `golden/NAME.out.jsonl`. The
+//! tests use no type of the project, so that a renaming in the code cannot change the expected bytes. Only
+//! the text of a REMARK, which is written for people, is masked.
 
 use std::io::Write;
 use std::path::PathBuf;
 use std::process::{Command, Output, Stdio};
 
-/// The adapter.
+/// Path of the adapter's binary.
 const BINARY: &str = env!("CARGO_BIN_EXE_simulator-adapter");
 
-fn golden(name: &str, end: &str) -> Vec<u8> {
+/// Returns the bytes of a golden file. The direction is `in` or `out`.
+fn read_golden(name: &str, direction: &str) -> Vec<u8> {
     let path: PathBuf = [env!("CARGO_MANIFEST_DIR"), "tests", "golden"].iter().collect();
-    let path = path.join(format!("{name}.{end}.jsonl"));
-    std::fs::read(&path).unwrap_or_else(|e| panic!("{}: {e}", path.display()))
+    let path = path.join(format!("{name}.{direction}.jsonl"));
+    std::fs::read(&path).unwrap_or_else(|error| panic!("{}: {error}", path.display()))
 }
 
-fn run(name: &str) -> Output {
+/// Runs the adapter with the input of a case, and waits for its exit.
+fn run_adapter(name: &str) -> Output {
     let mut child = Command::new(BINARY)
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
         .spawn()
         .expect("the adapter starts");
-    // A write may fail once the adapter has given up; its exit and output are what count.
-    let _ = child.stdin.take().expect("piped").write_all(&golden(name, "in"));
+    // The write may fail, because the adapter exits at the first malformed line. The tests check its exit
+    // code and output instead.
+    let _ = child.stdin.take().expect("piped").write_all(&read_golden(name, "in"));
     child.wait_with_output().expect("the adapter ends")
 }
 
-/// Replaces the text of each REMARK by a star; all other bytes stay.
-fn masked(line: &str) -> String {
+/// Returns the line with the text of each REMARK replaced by an asterisk. All other bytes stay.
+fn mask_remark_texts(line: &str) -> String {
     const REMARK: &str = r#"{"m":"REMARK","#;
     const FIELD: &str = r#""Line":""#;
     let mut parts = line.split(REMARK);
     let mut text = parts.next().unwrap_or_default().to_string();
     for part in parts {
-        let (head, rest) = part.split_once(FIELD).expect("a REMARK has a Line");
+        let (head, rest) = part.split_once(FIELD).expect("a Line in the REMARK");
         let mut escaped = false;
         let end = rest.find(|c| {
-            let ends = c == '"' && !escaped;
+            let is_end = c == '"' && !escaped;
             escaped = c == '\\' && !escaped;
-            ends
+            is_end
         });
-        let end = end.expect("the Line ends");
-        assert!(end > 0, "a REMARK says something: {line}");
+        let end = end.expect("a quote at the end of the Line");
+        assert!(end > 0, "the text of a REMARK is empty: {line}");
         text.extend([REMARK, head, FIELD, "*", &rest[end..]]);
     }
     text
 }
 
-/// Compares all that was written with the golden lines.
-fn compare(name: &str, output: &Output) {
-    let text = String::from_utf8(output.stdout.clone()).expect("replies are text");
-    let expected = String::from_utf8(golden(name, "out")).expect("golden lines are text");
-    let written: Vec<String> = text.split('\n').map(masked).collect();
-    for (i, (line, want)) in written.iter().zip(expected.split('\n')).enumerate() {
-        assert_eq!(line, want, "{name}, line {}", i + 1);
+/// Asserts that the output of the adapter equals the golden lines.
+fn assert_golden_output(name: &str, output: &Output) {
+    let text = String::from_utf8(output.stdout.clone()).expect("replies in UTF-8");
+    let expected = String::from_utf8(read_golden(name, "out")).expect("golden lines in UTF-8");
+    let lines: Vec<String> = text.split('\n').map(mask_remark_texts).collect();
+    for (i, (line, expected_line)) in lines.iter().zip(expected.split('\n')).enumerate() {
+        assert_eq!(line, expected_line, "{name}, line {}", i + 1);
     }
-    assert_eq!(written.join("\n"), expected, "{name}: number of lines");
+    assert_eq!(lines.join("\n"), expected, "{name}: number of lines");
 }
 
-/// The run succeeds and writes the golden lines.
-fn pinned(name: &str) {
-    let output = run(name);
+/// Asserts that the adapter succeeds and writes the golden lines.
+fn assert_golden(name: &str) {
+    let output = run_adapter(name);
     let error = String::from_utf8_lossy(&output.stderr);
     assert!(output.status.success(), "{name}: {error}");
-    compare(name, &output);
+    assert_golden_output(name, &output);
 }
 
-/// The run fails after the golden lines, and its one line of error names `value`.
-fn fails(name: &str, value: &str) {
-    let output = run(name);
+/// Asserts that the adapter fails after it has written the golden lines, with one line of error that contains
+/// `value`.
+fn assert_failure(name: &str, value: &str) {
+    let output = run_adapter(name);
     let error = String::from_utf8_lossy(&output.stderr);
     assert_eq!(output.status.code(), Some(1), "{name}: {error}");
     assert!(error.contains(value) && error.lines().count() == 1, "{name}, '{value}': {error}");
-    compare(name, &output);
+    assert_golden_output(name, &output);
 }
 
 #[test]
-fn quota_request_bytes() {
-    pinned("quota_request");
-    pinned("born_at_another_time");
+fn quota_request_is_sent_to_the_owner() {
+    assert_golden("quota_request");
+    assert_golden("quota_request_with_wrapped_incarnation");
 }
 
 #[test]
-fn units_spent_locally_bytes() {
-    pinned("units_spent_locally");
+fn spending_report_is_sent_to_the_owner() {
+    assert_golden("spending_report_sent");
 }
 
 #[test]
 fn quota_request_is_answered() {
-    pinned("granted_reply_sent");
-    pinned("refused_reply_sent");
-    pinned("repeated_request_same_reply");
-    pinned("request_after_a_pause");
+    assert_golden("granted_reply_sent");
+    assert_golden("denied_reply_sent");
+    assert_golden("duplicate_quota_request");
+    assert_golden("quota_request_after_a_stall");
 }
 
 #[test]
-fn granted_reply_sends_the_request_on() {
-    pinned("granted_reply_taken");
-    pinned("reply_for_another_start");
+fn granted_reply_forwards_the_request() {
+    assert_golden("granted_reply_received");
+    assert_golden("reply_to_another_incarnation");
 }
 
 #[test]
-fn refused_reply_declines_the_request() {
-    pinned("refused_reply_taken");
+fn denied_reply_rejects_the_request() {
+    assert_golden("denied_reply_received");
 }
 
 #[test]
-fn settlement_bytes() {
-    pinned("settlement_sent");
-    pinned("settlement_of_unsent");
+fn settlement_is_sent_to_the_owner() {
+    assert_golden("settlement_sent");
+    assert_golden("settlement_of_unsent_request");
 }
 
 #[test]
-fn settlement_charges_the_true_units() {
-    pinned("settlement_taken");
-    pinned("settlement_frees_place");
+fn settlement_charges_actual_units_and_frees_a_slot() {
+    assert_golden("settlement_received");
+    assert_golden("settlement_frees_slot");
 }
 
 #[test]
-fn units_spent_locally_lower_what_is_left() {
-    pinned("spent_locally_taken");
+fn spending_report_lowers_the_tokens_left() {
+    assert_golden("spending_report_received");
 }
 
 #[test]
-fn question_who_has_left_bytes() {
-    pinned("who_has_left_sent");
+fn tombstone_poll_is_sent_after_a_watch_failure() {
+    assert_golden("tombstone_poll_sent");
 }
 
 #[test]
-fn question_who_has_left_is_answered() {
-    pinned("left_sent");
+fn tombstone_poll_is_answered() {
+    assert_golden("tombstones_sent");
 }
 
 #[test]
-fn server_that_left_gets_nothing_more() {
-    pinned("left_taken");
-    pinned("left_not_taken_in_touch");
+fn tombstones_exclude_servers_only_after_a_watch_failure() {
+    assert_golden("tombstones_received");
+    assert_golden("tombstones_ignored_without_watch_failure");
 }
 
 #[test]
-fn latency_share_of_a_peer_limits_what_is_sent() {
-    pinned("latency_share_taken");
+fn latency_of_a_peer_limits_forwarded_requests() {
+    assert_golden("peer_latency_received");
 }
 
 #[test]
-fn several_lines_in_one_message() {
-    pinned("several_lines");
+fn several_lines_in_one_gossip_message() {
+    assert_golden("several_lines");
 }
 
 #[test]
-fn malformed_bodies_are_ignored() {
-    pinned("malformed_bodies");
+fn malformed_gossip_is_ignored() {
+    assert_golden("malformed_gossip");
 }
 
 #[test]
-fn wakeups_of_each_kind() {
-    pinned("wakeups");
-    pinned("aim_and_deadline");
+fn timers_of_each_kind() {
+    assert_golden("timers");
+    assert_golden("latency_objective_and_deadline");
 }
 
 #[test]
-fn refusals_with_and_without_advice() {
-    pinned("refusal_with_advice");
-    pinned("refusal_without_advice");
+fn rejections_with_and_without_retry_after() {
+    assert_golden("rejection_with_retry_after");
+    assert_golden("rejection_without_retry_after");
 }
 
 #[test]
-fn attempts_called_off() {
-    pinned("call_off");
-    pinned("no_cancelling");
+fn attempts_are_cancelled() {
+    assert_golden("cancelled_attempts");
+    assert_golden("cancellation_not_allowed");
 }
 
 #[test]
-fn requests_lost() {
-    pinned("lost");
+fn possibly_executed_requests_fail() {
+    assert_golden("failed_requests");
 }
 
 #[test]
-fn server_set_aside_is_remarked() {
-    pinned("server_set_aside_failing");
-    pinned("server_set_aside_silent");
+fn ejection_is_logged() {
+    assert_golden("ejection_after_errors");
+    assert_golden("ejection_without_responses");
 }
 
 #[test]
 fn attempt_outcomes() {
-    pinned("outcomes");
-    pinned("keyed_repeats");
+    assert_golden("outcomes");
+    assert_golden("retries_with_idempotency_key");
 }
 
 #[test]
-fn streaming_answers() {
-    pinned("streaming");
+fn streaming_responses_are_not_cancelled() {
+    assert_golden("streaming");
 }
 
 #[test]
-fn server_lists_of_each_scope() {
-    pinned("lists");
-    pinned("subscription");
+fn endpoint_lists_of_each_scope() {
+    assert_golden("endpoint_lists");
+    assert_golden("subscription");
 }
 
 #[test]
 fn instances_start_and_stop() {
-    pinned("several_instances");
+    assert_golden("several_instances");
 }
 
 #[test]
 fn events_without_effect() {
-    pinned("events_without_effect");
+    assert_golden("events_without_effect");
 }
 
 #[test]
-fn ceilings_and_even_parts() {
-    pinned("ceiling");
-    pinned("no_owner_answers");
+fn ceilings_and_even_shares() {
+    assert_golden("ceiling");
+    assert_golden("even_share_without_gossip");
 }
 
 #[test]
 fn malformed_lines_fail() {
-    fails("error_no_json", "line 2");
-    fails("error_unknown_event", "SURPRISE");
-    fails("error_missing_field", "BudgetMs");
-    fails("error_unknown_outcome", "fine");
-    fails("error_unknown_scope", "some");
-    fails("error_body_not_hex", "fdxy");
-    fails("error_body_half_byte", "fd0");
+    assert_failure("error_invalid_json", "line 2");
+    assert_failure("error_unknown_event", "SURPRISE");
+    assert_failure("error_missing_field", "BudgetMs");
+    assert_failure("error_unknown_outcome", "fine");
+    assert_failure("error_unknown_scope", "some");
+    assert_failure("error_body_not_hex", "fdxy");
+    assert_failure("error_body_odd_length", "fd0");
 }
 
 #[test]
 fn unknown_names_fail() {
-    fails("error_unknown_instance", "limiter-7");
-    fails("error_unknown_instance_down", "limiter-7");
-    fails("error_unknown_class", "gaze");
-    fails("error_unknown_plan", "gold");
-    fails("error_unknown_customer", "00zz");
-    fails("error_unknown_site", "mars");
-    fails("error_unknown_zone", "mars");
-    fails("error_unknown_page", "917");
-    fails("error_list_without_page", "Page");
+    assert_failure("error_unknown_instance", "limiter-7");
+    assert_failure("error_stop_of_unknown_instance", "limiter-7");
+    assert_failure("error_unknown_class", "gaze");
+    assert_failure("error_unknown_plan", "gold");
+    assert_failure("error_invalid_customer", "00zz");
+    assert_failure("error_unknown_endpoint_zone", "mars");
+    assert_failure("error_unknown_limiter_zone", "mars");
+    assert_failure("error_unknown_page", "917");
+    assert_failure("error_endpoints_without_page", "Page");
 }
 
 #[test]
-fn settings_that_cannot_be_served_fail() {
-    fails("error_keyed_without_scope", "transfer");
-    fails("error_settings_limiters", "65535");
-    fails("error_settings_position", "8642");
-    fails("error_settings_attempts", " 1 ");
-    fails("error_settings_round", "-8642");
-    fails("error_settings_cold_share", "86.42");
-    fails("error_settings_cold_time", "time");
-    fails("error_settings_fall_multiple", "-8642");
-    fails("error_settings_mail", "-8642");
-    fails("error_settings_class", " 4 ");
-    fails("error_settings_plan", " 3 ");
-    fails("error_settings_plans", "255");
+fn invalid_settings_fail() {
+    assert_failure("error_missing_key_scope", "transfer");
+    assert_failure("error_settings_limiters", "65535");
+    assert_failure("error_settings_position", "8642");
+    assert_failure("error_settings_attempts", " 1 ");
+    assert_failure("error_settings_event_interval", "-8642");
+    assert_failure("error_settings_cold_capacity", "86.42");
+    assert_failure("error_settings_slow_start_time", "time");
+    assert_failure("error_settings_overload_factor", "-8642");
+    assert_failure("error_settings_gossip_rate", "-8642");
+    assert_failure("error_settings_class", " 4 ");
+    assert_failure("error_settings_plan", " 3 ");
+    assert_failure("error_settings_plan_count", "255");
 }
 
 #[test]
 fn every_golden_file_is_compared() {
     let source = include_str!("pinned_bytes.rs");
     let path: PathBuf = [env!("CARGO_MANIFEST_DIR"), "tests", "golden"].iter().collect();
-    let mut files = 0;
-    for entry in std::fs::read_dir(path).expect("golden files") {
-        let file = entry.expect("a golden file").file_name().into_string().expect("a plain name");
+    let mut file_count = 0;
+    for entry in std::fs::read_dir(path).expect("the folder of golden files") {
+        let file =
+            entry.expect("an entry of the folder").file_name().into_string().expect("a file name in UTF-8");
         let name = file.trim_end_matches(".jsonl").trim_end_matches(".in").trim_end_matches(".out");
-        assert!(source.contains(&format!("(\"{name}\"")), "{file} is in no test");
-        files += 1;
+        assert!(source.contains(&format!("(\"{name}\"")), "no test reads {file}");
+        file_count += 1;
     }
-    assert!(files > 0);
+    assert!(file_count > 0);
 }
--- a/simulator-adapter/tests/wire.rs
+++ b/simulator-adapter/tests/wire.rs
@@ -1,11 +1,11 @@
-//! The adapter as a process: it gets batches of events as JSON lines on its standard input, and must write
-//! one reply to each batch.
+//! Tests the adapter as a process, which reads batches of events as JSON lines on its standard input and must
+//! write one reply to each batch.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
 /// The settings of a limiter. `Unheard` is an unknown key, which must be ignored.
-const SETUP: &str = r#"{"Balancers":2,"Position":0,"Zone":"a","Dcs":["a","b"],"RoundMs":4,
+const SETTINGS: &str = r#"{"Balancers":2,"Position":0,"Zone":"a","Dcs":["a","b"],"RoundMs":4,
 "Discovery":"automatic",
 "Classes":[{"Name":"look","AimMs":1000,"Effect":"read_like","LateWorth":0,"Unheard":1}],
 "TiersOfService":[{"Name":"basic","Rate":0,"StoreSize":0}],
@@ -13,7 +13,7 @@
 "Obligations":{"StartCapacity":0.2,"ColdMs":9000,"FallMultiple":3,"TipAfterMs":2000},
 "Domain":{"MailPerS":60}}"#;
 
-/// The output of the adapter for a whole input.
+/// The output of the adapter for a complete input.
 struct AdapterOutput {
     is_success: bool,
     /// One reply to each batch, in order.
@@ -38,7 +38,7 @@
     }
 }
 
-/// Runs the adapter with these lines as its whole input, and waits for its exit.
+/// Runs the adapter with these lines as its complete input, and waits for its exit.
 fn run_adapter(lines: &[String]) -> AdapterOutput {
     let mut child = Command::new(env!("CARGO_BIN_EXE_simulator-adapter"))
         .stdin(Stdio::piped())
@@ -68,9 +68,9 @@
 
 /// Returns the events that start a limiter and give it page 3 of the endpoint list as last defined.
 fn start_limiter_events(limiter: u32) -> String {
-    let setup = SETUP.replace('\n', "");
+    let settings = SETTINGS.replace('\n', "");
     format!(
-        r#"{{"m":"NEW_INSTANCE","LimiterId":"limiter-{limiter}","Seed":{limiter},"Setup":{setup}}},
+        r#"{{"m":"NEW_INSTANCE","LimiterId":"limiter-{limiter}","Seed":{limiter},"Setup":{settings}}},
             {{"m":"BACKENDS_CHANGED","LimiterId":"limiter-{limiter}","Scope":"cached","Version":1,"Page":3}}"#
     )
     .replace('\n', "")
@@ -87,17 +87,17 @@
     batch(1, &start_events())
 }
 
-/// Returns the event that a request arrives at a limiter.
-fn request(limiter: u32, ticket: u32) -> String {
+/// Returns the event for a request that arrives at a limiter.
+fn request(limiter: u32, request_id: u32) -> String {
     format!(
-        r#"{{"m":"WORK_ITEM","LimiterId":"limiter-{limiter}","Ticket":{ticket},"Service":"look",
+        r#"{{"m":"WORK_ITEM","LimiterId":"limiter-{limiter}","Ticket":{request_id},"Service":"look",
         "Plan":"basic","ClientId":"00000000000000ff","BudgetMs":900.5,"PriceUnits":1,
         "EntryPoints":2,"SetFrom":0,"New":[1]}}"#
     )
     .replace('\n', "")
 }
 
-/// A batch without events gets a reply, too. The end of the input is no error.
+/// A batch without events gets a reply as well, and the end of the input is not an error.
 #[test]
 fn each_batch_gets_one_reply_and_the_end_of_input_exits_with_success() {
     let output = run_adapter(&[batch(0, ""), start_batch(), batch(2, &request(0, 5))]);
