--- a/simulator-adapter/tests/pinned_bytes.rs
+++ b/simulator-adapter/tests/pinned_bytes.rs
@@ -152,7 +152,7 @@
 }
 
 #[test]
-fn several_lines_in_one_gossip_message() {
+fn several_lines_in_one_gossip_message_are_handled() {
     assert_golden("several_lines");
 }
 
@@ -191,7 +191,7 @@
 }
 
 #[test]
-fn attempt_outcomes() {
+fn attempt_outcomes_decide_whether_to_retry() {
     assert_golden("outcomes");
     assert_golden("retries_with_idempotency_key");
 }
@@ -213,7 +213,7 @@
 }
 
 #[test]
-fn events_without_effect() {
+fn events_without_effect_are_ignored() {
     assert_golden("events_without_effect");
 }
 
