--- a/soak/src/addresses.rs
+++ b/soak/src/addresses.rs
@@ -16,11 +16,11 @@
 
 impl Addresses {
     /// Returns the addresses of this process. The second byte of each address is derived from the process id.
-    pub fn of_process() -> Addresses {
+    pub fn for_process() -> Addresses {
         Addresses { network: 1 + (std::process::id() % 250) as u8 }
     }
 
-    fn at(self, block: usize, number: usize, port: u16) -> SocketAddr {
+    fn address(self, block: usize, number: usize, port: u16) -> SocketAddr {
         let block = block + number / ADDRESSES_PER_BLOCK;
         let host = 1 + number % ADDRESSES_PER_BLOCK;
         SocketAddr::V4(SocketAddrV4::new(Ipv4Addr::new(127, self.network, block as u8, host as u8), port))
@@ -28,27 +28,27 @@
 
     /// Returns the address on which a limiter accepts clients.
     pub fn limiter(self, limiter: usize) -> SocketAddr {
-        self.at(1, limiter, 3000)
+        self.address(1, limiter, 3000)
     }
 
     /// Returns the address on which a limiter receives gossip.
     pub fn gossip(self, limiter: usize) -> SocketAddr {
-        self.at(1, limiter, 7946)
+        self.address(1, limiter, 7946)
     }
 
     /// Returns the address to which peers send gossip for a limiter: the stand-in for the network listens
     /// there.
     pub fn gossip_proxy(self, limiter: usize) -> SocketAddr {
-        self.at(2, limiter, 7946)
+        self.address(2, limiter, 7946)
     }
 
     /// Returns the address of one of a limiter's agents of discovery.
     pub fn discovery(self, limiter: usize, agent: usize) -> SocketAddr {
-        self.at(3 + agent, limiter, 8500)
+        self.address(3 + agent, limiter, 8500)
     }
 
     /// Returns one of the server addresses.
     pub fn server(self, index: usize) -> SocketAddr {
-        self.at(10, index, 3000)
+        self.address(10, index, 3000)
     }
 }
--- a/soak/src/clients/connections.rs
+++ b/soak/src/clients/connections.rs
@@ -24,7 +24,7 @@
 
 impl Clients {
     /// Takes the connection that became idle last.
-    pub(super) fn take_pooled(&self, limiter: usize) -> Option<PooledConnection> {
+    pub(super) fn take_idle_connection(&self, limiter: usize) -> Option<PooledConnection> {
         self.pools[limiter].lock().unwrap_or_else(PoisonError::into_inner).pop()
     }
 
--- a/soak/src/clients/exchange.rs
+++ b/soak/src/clients/exchange.rs
@@ -28,7 +28,7 @@
 }
 
 /// The connection of an exchange.
-pub struct Channel {
+pub struct LimiterConnection {
     /// The connection.
     pub connection: Connection,
     /// The limiter.
@@ -43,49 +43,58 @@
     /// Sends a request to a limiter, on an idle connection if there is one. A request that is not read before
     /// its reused connection ends is sent once more on a new connection.
     pub(super) async fn send(&self, request: &RequestSpec, limiter: usize, rng: &mut SmallRng) -> Delivery {
-        if let Some(PooledConnection { connection, incarnation }) = self.take_pooled(limiter) {
-            let channel = Channel { connection, limiter, incarnation, is_reused: true };
-            if self.exchange(request, channel, rng).await == Delivery::Delivered {
+        if let Some(PooledConnection { connection, incarnation }) = self.take_idle_connection(limiter) {
+            let limiter_connection = LimiterConnection { connection, limiter, incarnation, is_reused: true };
+            if self.exchange(request, limiter_connection, rng).await == Delivery::Delivered {
                 return Delivery::Delivered;
             }
         }
         let Some(connection) = self.connect(limiter).await else { return Delivery::NotDelivered };
         let incarnation = self.limiters[limiter].incarnation();
-        let channel = Channel { connection, limiter, incarnation, is_reused: false };
-        self.exchange(request, channel, rng).await;
+        let limiter_connection = LimiterConnection { connection, limiter, incarnation, is_reused: false };
+        self.exchange(request, limiter_connection, rng).await;
         Delivery::Delivered
     }
 
     /// Writes a request and waits for the response, or disconnects before the response.
-    async fn exchange(&self, request: &RequestSpec, mut channel: Channel, rng: &mut SmallRng) -> Delivery {
+    async fn exchange(
+        &self,
+        request: &RequestSpec,
+        mut limiter_connection: LimiterConnection,
+        rng: &mut SmallRng,
+    ) -> Delivery {
         let text = request.to_http(&self.deployment);
         let is_slow = rng.random_bool(SLOW_WRITE_FRACTION);
-        if write(&mut channel.connection, &text, is_slow, rng).await.is_err() {
+        if write(&mut limiter_connection.connection, &text, is_slow, rng).await.is_err() {
             // Nothing shows that the limiter has read the complete request.
-            return if channel.is_reused { Delivery::NotDelivered } else { Delivery::Delivered };
+            return if limiter_connection.is_reused { Delivery::NotDelivered } else { Delivery::Delivered };
         }
-        self.record_request(request, &channel, Instant::now());
+        self.record_request(request, &limiter_connection, Instant::now());
         if rng.random_range(0..1000) < self.disconnecting_per_mille.load(Ordering::SeqCst) {
             sleep(Duration::from_millis(rng.random_range(0..300))).await;
-            drop(channel);
+            drop(limiter_connection);
             self.record_outcome(request.id, Outcome::Disconnected);
             return Delivery::Delivered;
         }
-        self.await_response(request, channel).await
+        self.await_response(request, limiter_connection).await
     }
 
-    async fn await_response(&self, request: &RequestSpec, mut channel: Channel) -> Delivery {
-        let response = channel.connection.read(MessageKind::Response);
+    async fn await_response(
+        &self,
+        request: &RequestSpec,
+        mut limiter_connection: LimiterConnection,
+    ) -> Delivery {
+        let response = limiter_connection.connection.read(MessageKind::Response);
         match timeout(request.timeout + RESPONSE_GRACE, response).await {
             Ok(Ok(response)) => {
                 self.record_outcome(request.id, request.outcome(&response));
                 if response.header("connection") != Some("close") {
-                    let Channel { connection, limiter, incarnation, .. } = channel;
+                    let LimiterConnection { connection, limiter, incarnation, .. } = limiter_connection;
                     self.return_to_pool(limiter, PooledConnection { connection, incarnation });
                 }
             }
-            Ok(Err(ReadError::Ended)) if channel.is_reused && !self.was_forwarded(request.id) => {
-                self.forget(request.id);
+            Ok(Err(ReadError::Ended)) if limiter_connection.is_reused && !self.was_forwarded(request.id) => {
+                self.remove_request(request.id);
                 return Delivery::NotDelivered;
             }
             Ok(Err(_)) => self.record_outcome(request.id, Outcome::Closed),
@@ -95,17 +104,22 @@
     }
 
     /// Records that a request was written completely.
-    pub(super) fn record_request(&self, request: &RequestSpec, channel: &Channel, written_at: Instant) {
+    pub(super) fn record_request(
+        &self,
+        request: &RequestSpec,
+        limiter_connection: &LimiterConnection,
+        written_at: Instant,
+    ) {
         let client_request = ClientRequest {
-            limiter: channel.limiter,
-            incarnation: channel.incarnation,
+            limiter: limiter_connection.limiter,
+            incarnation: limiter_connection.incarnation,
             class: request.class,
             plan: request.plan,
             customer: request.customer,
             units: request.units,
             written_at,
             timeout: request.timeout,
-            is_on_reused_connection: channel.is_reused,
+            is_on_reused_connection: limiter_connection.is_reused,
             outcome: None,
             ended_at: None,
         };
--- a/soak/src/clients/misbehaving.rs
+++ b/soak/src/clients/misbehaving.rs
@@ -15,13 +15,13 @@
 
 /// Opens connections that send a part of a request and stay open, and records a fault for each that the
 /// limiter does not close in time.
-pub fn stall(clients: &Arc<Clients>, limiter: usize, count: usize) {
+pub fn open_stalled_connections(clients: &Arc<Clients>, limiter: usize, count: usize) {
     for _ in 0..count {
-        tokio::spawn(stall_one(clients.clone(), limiter));
+        tokio::spawn(open_stalled_connection(clients.clone(), limiter));
     }
 }
 
-async fn stall_one(clients: Arc<Clients>, limiter: usize) {
+async fn open_stalled_connection(clients: Arc<Clients>, limiter: usize) {
     let Some(mut connection) = clients.connect(limiter).await else { return };
     let stalled_at = Instant::now();
     let _ = connection.stream.write_all(INCOMPLETE_REQUEST).await;
@@ -34,7 +34,7 @@
 }
 
 /// Opens connections that send nothing, and closes them after the given time.
-pub async fn stay_idle(clients: &Clients, limiter: usize, count: usize, duration: Duration) {
+pub async fn hold_idle_connections(clients: &Clients, limiter: usize, count: usize, duration: Duration) {
     let mut connections = Vec::new();
     for _ in 0..count {
         connections.extend(clients.connect(limiter).await);
--- a/soak/src/clients/mod.rs
+++ b/soak/src/clients/mod.rs
@@ -98,7 +98,7 @@
             return self.send_pipelined(&requests).await;
         }
         for _ in 0..MAX_CONNECT_ATTEMPTS {
-            let member = rng.random_range(0..request.member_count);
+            let member = rng.random_range(0..request.num_members);
             let limiter = (request.first_member + member) % self.limiters.len();
             if self.send(&request, limiter, &mut rng).await == Delivery::Delivered {
                 return;
@@ -113,7 +113,7 @@
     }
 
     /// Forgets a request that the limiter did not read.
-    fn forget(&self, id: RequestId) {
+    fn remove_request(&self, id: RequestId) {
         self.record.lock().requests.remove(&id);
     }
 
--- a/soak/src/clients/pipeline.rs
+++ b/soak/src/clients/pipeline.rs
@@ -5,7 +5,7 @@
 use tokio::io::AsyncWriteExt;
 use tokio::time::timeout;
 
-use super::exchange::Channel;
+use super::exchange::LimiterConnection;
 use super::request::RequestSpec;
 use super::{Clients, RESPONSE_GRACE};
 use crate::http::MessageKind;
@@ -18,25 +18,25 @@
         let limiter = requests[0].first_member;
         let Some(connection) = self.connect(limiter).await else { return };
         let incarnation = self.limiters[limiter].incarnation();
-        let mut channel = Channel { connection, limiter, incarnation, is_reused: false };
+        let mut limiter_connection = LimiterConnection { connection, limiter, incarnation, is_reused: false };
         let text: String = requests.iter().map(|request| request.to_http(&self.deployment)).collect();
-        if channel.connection.stream.write_all(text.as_bytes()).await.is_err() {
+        if limiter_connection.connection.stream.write_all(text.as_bytes()).await.is_err() {
             return;
         }
         let written_at = Instant::now();
         for request in requests {
-            self.record_request(request, &channel, written_at);
+            self.record_request(request, &limiter_connection, written_at);
         }
         for (index, request) in requests.iter().enumerate() {
             let is_first = index == 0;
-            self.read_pipelined_response(request, &mut channel, written_at, is_first).await;
+            self.read_pipelined_response(request, &mut limiter_connection, written_at, is_first).await;
         }
     }
 
     async fn read_pipelined_response(
         &self,
         request: &RequestSpec,
-        channel: &mut Channel,
+        limiter_connection: &mut LimiterConnection,
         written_at: Instant,
         is_first: bool,
     ) {
@@ -44,9 +44,9 @@
         // Responses arrive in the order of the requests: a later one cannot arrive before the one ahead of
         // it, whatever its own timeout is.
         let max_wait = if is_first { time_left } else { time_left.max(RESPONSE_GRACE) };
-        match timeout(max_wait, channel.connection.read(MessageKind::Response)).await {
+        match timeout(max_wait, limiter_connection.connection.read(MessageKind::Response)).await {
             Ok(Ok(response)) => self.record_outcome(request.id, request.outcome(&response)),
-            Ok(Err(_)) if !is_first && !self.was_forwarded(request.id) => self.forget(request.id),
+            Ok(Err(_)) if !is_first && !self.was_forwarded(request.id) => self.remove_request(request.id),
             Ok(Err(_)) => self.record_outcome(request.id, Outcome::Closed),
             Err(_) => self.record_outcome(request.id, Outcome::TimedOut),
         }
--- a/soak/src/clients/request.rs
+++ b/soak/src/clients/request.rs
@@ -35,7 +35,7 @@
     /// How long the client waits for the response.
     pub timeout: Duration,
     /// Number of members of the customer's quota.
-    pub member_count: usize,
+    pub num_members: usize,
     /// Position of the first member.
     pub first_member: usize,
 }
@@ -64,7 +64,7 @@
             customer,
             units: rng.random_range(1..=3),
             timeout: Duration::from_millis(timeout_ms),
-            member_count: num_limiters.min(MAX_MEMBERS),
+            num_members: num_limiters.min(MAX_MEMBERS),
             first_member: customer as usize % num_limiters,
         }
     }
@@ -92,7 +92,7 @@
             deployment.plans[self.plan].name,
             self.timeout.as_secs_f64(),
             self.units,
-            self.member_count,
+            self.num_members,
             self.first_member,
         )
     }
--- a/soak/src/cost.rs
+++ b/soak/src/cost.rs
@@ -32,7 +32,7 @@
 /// Latency of the servers.
 const SERVER_LATENCY: Duration = Duration::from_millis(10);
 /// Lowest rate of list changes per second.
-const MIN_CHANGE_RATE: f64 = 1e-3;
+const MIN_CHANGE_RATE_PER_S: f64 = 1e-3;
 /// Distance in the list between two servers that change one after the other.
 const CHANGE_STEP: usize = 7;
 
@@ -68,7 +68,7 @@
 /// A stand-in cannot listen, or the program or the folder does not exist.
 pub async fn measure(options: &CostOptions) -> std::io::Result<()> {
     let deployment = deployment(options);
-    let addresses = Addresses::of_process();
+    let addresses = Addresses::for_process();
     let record = Arc::new(SharedRecord::default());
     let discovery = Discovery::new(record.clone(), SEED);
     discovery.listen(0, addresses.discovery(0, 0))?;
@@ -148,7 +148,7 @@
     for address_index in 0..NUM_RUNNING_SERVERS {
         let address = addresses.server(address_index);
         let latency = SERVER_LATENCY;
-        let options = ServerOptions { number: 0, address_index, address, latency, cold_since: None };
+        let options = ServerOptions { number: 0, address_index, address, latency, slow_start_since: None };
         Server::start(&options, deployment, record.clone())?;
         started.push(address);
     }
@@ -195,15 +195,15 @@
 
 /// Announces at the given rate that a server drains, or that the same server serves again.
 async fn change_list(discovery: &Discovery, list: &ServerList, options: &CostOptions, until: Instant) {
-    let interval = Duration::from_secs_f64(1.0 / options.changes.max(MIN_CHANGE_RATE));
+    let interval = Duration::from_secs_f64(1.0 / options.changes.max(MIN_CHANGE_RATE_PER_S));
     let mut due = Instant::now();
     let mut num_changes = 0;
     while due < until {
         due += interval;
         sleep_until(due.min(until).into()).await;
         let number = num_changes / 2 * CHANGE_STEP % options.servers;
-        let is_drain = num_changes % 2 == 0;
-        let state = if is_drain { EndpointState::Draining } else { EndpointState::Serving };
+        let is_draining = num_changes % 2 == 0;
+        let state = if is_draining { EndpointState::Draining } else { EndpointState::Serving };
         discovery.announce(list.entry(number).with_state(state));
         num_changes += 1;
     }
--- a/soak/src/deployment.rs
+++ b/soak/src/deployment.rs
@@ -91,7 +91,7 @@
     /// Requests per second that a warm server can serve.
     pub capacity_per_s: f64,
     /// Fraction of its capacity that a server has when it starts.
-    pub cold_capacity_fraction: f64,
+    pub initial_capacity_fraction: f64,
     /// Time from the start of a server until it has its full capacity.
     pub slow_start: Duration,
     /// A cold server fails under this multiple of its present capacity.
@@ -136,7 +136,7 @@
             can_cancel: rng.random_bool(0.85),
             rate_per_s,
             capacity_per_s: rate_per_s / servers as f64 / rng.random_range(0.5..0.8),
-            cold_capacity_fraction: rng.random_range(0.15..0.3),
+            initial_capacity_fraction: rng.random_range(0.15..0.3),
             slow_start: random_ms(rng, 5000, 14_000),
             overload_factor: rng.random_range(2.5..4.0),
             overload_time: random_ms(rng, 1500, 2500),
@@ -153,18 +153,18 @@
     /// Returns the fraction of its capacity that a server of this age has.
     pub fn capacity_fraction(&self, age: Duration) -> f64 {
         let progress = (age.as_secs_f64() / self.slow_start.as_secs_f64()).min(1.0);
-        self.cold_capacity_fraction + (1.0 - self.cold_capacity_fraction) * progress
+        self.initial_capacity_fraction + (1.0 - self.initial_capacity_fraction) * progress
     }
 
     /// Returns how many requests a server of this age may receive within `overload_time` before the load
     /// counts as an overload: N by the settings, plus an allowance for random arrivals.
     pub fn slow_start_budget(&self, age: Duration) -> f64 {
         let capacity_per_s = self.capacity_per_s * self.capacity_fraction(age);
-        let n = self.overload_factor * capacity_per_s * self.overload_time.as_secs_f64();
-        if n < 30.0 {
-            n + 3.0 * n.sqrt() + 3.0
+        let overload_requests = self.overload_factor * capacity_per_s * self.overload_time.as_secs_f64();
+        if overload_requests < 30.0 {
+            overload_requests + 3.0 * overload_requests.sqrt() + 3.0
         } else {
-            n + 2.0 * n.sqrt() + 2.0
+            overload_requests + 2.0 * overload_requests.sqrt() + 2.0
         }
     }
 }
--- a/soak/src/deployment/settings.rs
+++ b/soak/src/deployment/settings.rs
@@ -20,7 +20,7 @@
                 "MayTell": true, "RetryAfter": true, "IdleCloseMs": to_ms(self.server_idle_timeout),
             },
             "Obligations": {
-                "StartCapacity": self.cold_capacity_fraction, "ColdMs": to_ms(self.slow_start),
+                "StartCapacity": self.initial_capacity_fraction, "ColdMs": to_ms(self.slow_start),
                 "FallMultiple": self.overload_factor, "TipAfterMs": to_ms(self.overload_time),
             },
             "Domain": {"MailPerS": 100.0, "UnitsTop": 4.0},
--- a/soak/src/discovery/list.rs
+++ b/soak/src/discovery/list.rs
@@ -40,7 +40,7 @@
 }
 
 /// A list or a change, as discovery writes it to a watch.
-pub struct Announcement {
+pub struct WatchEvent {
     /// The JSON form.
     pub object: Value,
     /// Numbers of the servers that are announced as draining or removed.
@@ -72,14 +72,14 @@
     }
 
     /// Returns the complete list, without removed servers, in its JSON form.
-    pub fn complete(&self) -> Value {
+    pub fn complete_list(&self) -> Value {
         let present = self.servers.iter().filter(|server| server.state != EndpointState::Removed);
         let servers: Vec<Value> = present.map(ListedServer::to_json).collect();
         json!({"version": self.version, "full": true, "servers": servers})
     }
 
     /// Returns the servers that changed after a version, or the complete list if no version is given.
-    pub fn announcement(&self, after: Option<u64>) -> Announcement {
+    pub fn watch_event(&self, after: Option<u64>) -> WatchEvent {
         let mut changed = Vec::new();
         let mut withdrawn = Vec::new();
         let mut serving = Vec::new();
@@ -94,10 +94,10 @@
             }
         }
         let object = match after {
-            None => self.complete(),
+            None => self.complete_list(),
             Some(_) => json!({"version": self.version, "full": false, "servers": changed}),
         };
-        Announcement { object, withdrawn, serving }
+        WatchEvent { object, withdrawn, serving }
     }
 }
 
--- a/soak/src/discovery/mod.rs
+++ b/soak/src/discovery/mod.rs
@@ -111,7 +111,7 @@
 
     /// Returns the complete list in its JSON form.
     pub fn complete_list(&self) -> Value {
-        self.list().complete()
+        self.list().complete_list()
     }
 
     fn list(&self) -> MutexGuard<'_, EndpointList> {
--- a/soak/src/discovery/watch.rs
+++ b/soak/src/discovery/watch.rs
@@ -11,7 +11,7 @@
 use tokio::sync::watch::Receiver;
 use tokio::time::{sleep, timeout};
 
-use super::list::Announcement;
+use super::list::WatchEvent;
 use super::{Availability, Discovery};
 use crate::http::{Connection, MessageKind};
 use crate::net;
@@ -39,14 +39,14 @@
 impl Discovery {
     /// Serves a connection of a limiter's agent: one request, and a watch until its end.
     pub(super) async fn serve(self: Arc<Self>, limiter: usize, mut connection: Connection) {
-        net::reset_on_close(&connection.stream);
+        net::enable_reset_on_close(&connection.stream);
         let Ok(Ok(request)) = timeout(REQUEST_TIMEOUT, connection.read(MessageKind::Request)).await else {
             return;
         };
         let num_incarnations = self.record.lock().incarnations.get(&limiter).map_or(0, Vec::len);
         let watcher = Watcher { limiter, incarnation: num_incarnations.saturating_sub(1) };
         let mut availability = self.availability.subscribe();
-        if refuses(&mut availability).await {
+        if refuses_after_silence(&mut availability).await {
             return;
         }
         let after = self.requested_version(&request.path);
@@ -80,15 +80,15 @@
         let mut availability = self.availability.subscribe();
         resets.borrow_and_update();
         loop {
-            if refuses(&mut availability).await {
+            if refuses_after_silence(&mut availability).await {
                 return Ok(());
             }
             let current = *version.borrow_and_update();
             if after != Some(current) {
                 self.delay(&mut connection).await?;
-                let announcement = self.list().announcement(after);
-                write_object(&mut connection, &announcement.object, &mut rng).await?;
-                self.record_notifications(watcher, &announcement);
+                let watch_event = self.list().watch_event(after);
+                write_object(&mut connection, &watch_event.object, &mut rng).await?;
+                self.record_notifications(watcher, &watch_event);
                 after = Some(current);
                 continue;
             }
@@ -111,21 +111,21 @@
         Ok(())
     }
 
-    fn record_notifications(&self, watcher: Watcher, announcement: &Announcement) {
+    fn record_notifications(&self, watcher: Watcher, watch_event: &WatchEvent) {
         let Watcher { limiter, incarnation } = watcher;
         let key = |server| NotificationKey { limiter, incarnation, server };
         let mut record = self.record.lock();
-        for server in &announcement.withdrawn {
-            record.withdrawals_notified.entry(key(*server)).or_insert_with(Instant::now);
+        for server in &watch_event.withdrawn {
+            record.withdrawal_notifications.entry(key(*server)).or_insert_with(Instant::now);
         }
-        for server in &announcement.serving {
-            record.starts_notified.entry(key(*server)).or_insert_with(Instant::now);
+        for server in &watch_event.serving {
+            record.start_notifications.entry(key(*server)).or_insert_with(Instant::now);
         }
     }
 }
 
 /// Waits while discovery is silent. Returns whether discovery refuses connections after that.
-async fn refuses(availability: &mut Receiver<Availability>) -> bool {
+async fn refuses_after_silence(availability: &mut Receiver<Availability>) -> bool {
     let current = availability.wait_for(|availability| *availability != Availability::Silent).await;
     current.is_ok_and(|availability| *availability == Availability::Refusing)
 }
--- a/soak/src/faults/clients.rs
+++ b/soak/src/faults/clients.rs
@@ -17,7 +17,7 @@
 const NUM_IDLE_CLIENTS: usize = 80;
 
 /// Makes a third of the clients disconnect before their response.
-pub async fn disconnect_often(harness: &Harness, rng: &mut SmallRng) {
+pub async fn raise_disconnect_rate(harness: &Harness, rng: &mut SmallRng) {
     harness.record.record_event("a third of the clients disconnect early");
     harness.clients.set_disconnecting_per_mille(MANY_DISCONNECTING_PER_MILLE);
     sleep(random_ms(rng, 300, 2000)).await;
@@ -25,7 +25,7 @@
 }
 
 /// Multiplies the request rate for a moment.
-pub async fn burst(harness: &Harness, rng: &mut SmallRng) {
+pub async fn raise_request_rate(harness: &Harness, rng: &mut SmallRng) {
     harness.record.record_event("burst of requests");
     harness.clients.set_rate_factor(BURST_FACTOR);
     sleep(random_ms(rng, 500, 2500)).await;
@@ -33,13 +33,13 @@
 }
 
 /// Opens connections that send an incomplete request and stay open.
-pub fn stall(harness: &Harness, limiter: usize) {
-    misbehaving::stall(&harness.clients, limiter, NUM_STALLING_CLIENTS);
+pub fn open_stalled_connections(harness: &Harness, limiter: usize) {
+    misbehaving::open_stalled_connections(&harness.clients, limiter, NUM_STALLING_CLIENTS);
 }
 
 /// Opens connections that send nothing for a while.
-pub async fn idle(harness: &Harness, limiter: usize, rng: &mut SmallRng) {
+pub async fn open_idle_connections(harness: &Harness, limiter: usize, rng: &mut SmallRng) {
     harness.record.record_event(format!("limiter {limiter}: {NUM_IDLE_CLIENTS} idle clients"));
     let duration = random_ms(rng, 500, 4000);
-    misbehaving::stay_idle(&harness.clients, limiter, NUM_IDLE_CLIENTS, duration).await;
+    misbehaving::hold_idle_connections(&harness.clients, limiter, NUM_IDLE_CLIENTS, duration).await;
 }
--- a/soak/src/faults/discovery.rs
+++ b/soak/src/faults/discovery.rs
@@ -17,7 +17,7 @@
 const MAX_LONG_OUTAGE_MS: u64 = 12_000;
 
 /// Makes discovery refuse connections or stay silent.
-pub async fn outage(harness: &Harness, rng: &mut SmallRng) {
+pub async fn cause_outage(harness: &Harness, rng: &mut SmallRng) {
     let availability = if rng.random_bool(0.5) { Availability::Refusing } else { Availability::Silent };
     let max_ms = if rng.random_bool(0.2) { MAX_LONG_OUTAGE_MS } else { MAX_OUTAGE_MS };
     let duration = random_ms(rng, 300, max_ms);
@@ -37,7 +37,7 @@
 
 /// Makes discovery answer late, where lists are subscribed to. An agent on the host of the limiter, which
 /// pushes lists, never answers late.
-pub async fn slow(harness: &Harness, rng: &mut SmallRng) {
+pub async fn delay_responses(harness: &Harness, rng: &mut SmallRng) {
     if !harness.deployment.subscribes {
         return;
     }
--- a/soak/src/faults/limiters.rs
+++ b/soak/src/faults/limiters.rs
@@ -29,7 +29,7 @@
 
 /// Ends a limiter by a signal and starts it again after a moment.
 pub async fn restart(harness: &Harness, limiter: usize, signal: RestartSignal, rng: &mut SmallRng) {
-    if !harness.begin_restart(limiter) {
+    if !harness.try_begin_restart(limiter) {
         return;
     }
     // The limiter starts again with this list, which may be stale by then.
@@ -61,14 +61,14 @@
 
 /// Sends all or some limiters up to three new configurations in quick succession, each with another discovery
 /// address.
-pub async fn reload(harness: &Harness, rng: &mut SmallRng) {
-    let count = draw_count(harness, 0.3, rng);
+pub async fn reload_configurations(harness: &Harness, rng: &mut SmallRng) {
+    let count = draw_limiter_count(harness, 0.3, rng);
     let num_reloads = rng.random_range(1..4);
     harness.record.record_event(format!("{count} limiters reload {num_reloads} configurations"));
     let limiters: Vec<&Arc<LimiterProcess>> = harness.limiters.choose_multiple(rng, count).collect();
     for _ in 0..num_reloads {
         for limiter in limiters.iter().filter(|limiter| limiter.accepts_clients()) {
-            limiter.move_discovery();
+            limiter.switch_discovery_agent();
         }
         sleep(Duration::from_millis(rng.random_range(0..200))).await;
     }
@@ -80,11 +80,11 @@
     probability_of_all: f64,
     rng: &mut SmallRng,
 ) -> Vec<&'a Arc<LimiterProcess>> {
-    let count = draw_count(harness, probability_of_all, rng);
+    let count = draw_limiter_count(harness, probability_of_all, rng);
     harness.limiters.choose_multiple(rng, count).collect()
 }
 
-fn draw_count(harness: &Harness, probability_of_all: f64, rng: &mut SmallRng) -> usize {
+fn draw_limiter_count(harness: &Harness, probability_of_all: f64, rng: &mut SmallRng) -> usize {
     if rng.random_bool(probability_of_all) {
         harness.limiters.len()
     } else {
--- a/soak/src/faults/mod.rs
+++ b/soak/src/faults/mod.rs
@@ -103,14 +103,14 @@
 impl DrawnFault {
     /// Draws a fault and the time before it.
     pub fn draw(rng: &mut StdRng) -> Option<DrawnFault> {
-        let delay = exponential(rng, MEAN_FAULT_INTERVAL).min(MAX_FAULT_INTERVAL);
+        let delay = draw_exponential(rng, MEAN_FAULT_INTERVAL).min(MAX_FAULT_INTERVAL);
         let weighted = FAULTS.choose_weighted(rng, |weighted| weighted.weight).ok()?;
         Some(DrawnFault { delay, fault: weighted.fault, seed: rng.random() })
     }
 }
 
 /// Draws a time from the exponential distribution with the given mean.
-fn exponential(rng: &mut StdRng, mean: Duration) -> Duration {
+fn draw_exponential(rng: &mut StdRng, mean: Duration) -> Duration {
     mean.mul_f64(-rng.random::<f64>().max(1e-9).ln())
 }
 
@@ -126,7 +126,7 @@
         sleep(drawn.delay).await;
         tokio::spawn(inject(harness.clone(), drawn));
     }
-    harness.restarts_finished().await;
+    harness.wait_for_restarts().await;
 }
 
 /// Injects a fault, and ends it after its time.
@@ -141,10 +141,10 @@
             limiters::restart(&harness, limiter, RestartSignal::Sigkill, &mut rng).await;
         }
         Fault::StallLimiters => limiters::stall(&harness, &mut rng).await,
-        Fault::ReloadConfiguration => limiters::reload(&harness, &mut rng).await,
-        Fault::DiscoveryOutage => discovery::outage(&harness, &mut rng).await,
+        Fault::ReloadConfiguration => limiters::reload_configurations(&harness, &mut rng).await,
+        Fault::DiscoveryOutage => discovery::cause_outage(&harness, &mut rng).await,
         Fault::ResetWatches => discovery::reset_watches(&harness),
-        Fault::SlowDiscovery => discovery::slow(&harness, &mut rng).await,
+        Fault::SlowDiscovery => discovery::delay_responses(&harness, &mut rng).await,
         Fault::ReplaceServers => servers::replace(&harness, &mut rng).await,
         Fault::RestartServer => servers::restart(&harness, &mut rng).await,
         Fault::FaultyServers => servers::misbehave(&harness, &mut rng).await,
@@ -155,9 +155,9 @@
             servers::limit_reachability(&harness, Reachability::Partitioned, &mut rng).await;
         }
         Fault::PartitionGossip => gossip::partition(&harness, limiter, &mut rng).await,
-        Fault::DisconnectingClients => clients::disconnect_often(&harness, &mut rng).await,
-        Fault::StallingClients => clients::stall(&harness, limiter),
-        Fault::IdleClients => clients::idle(&harness, limiter, &mut rng).await,
-        Fault::Burst => clients::burst(&harness, &mut rng).await,
+        Fault::DisconnectingClients => clients::raise_disconnect_rate(&harness, &mut rng).await,
+        Fault::StallingClients => clients::open_stalled_connections(&harness, limiter),
+        Fault::IdleClients => clients::open_idle_connections(&harness, limiter, &mut rng).await,
+        Fault::Burst => clients::raise_request_rate(&harness, &mut rng).await,
     }
 }
--- a/soak/src/faults/servers.rs
+++ b/soak/src/faults/servers.rs
@@ -58,7 +58,7 @@
         zone: record.zone,
         cell: record.cell,
     };
-    if harness.start_server_again(identity, rng.random()).is_ok() {
+    if harness.restart_server(identity, rng.random()).is_ok() {
         harness.record.record_event(format!("{name} starts again, cold"));
     }
 }
--- a/soak/src/harness.rs
+++ b/soak/src/harness.rs
@@ -46,7 +46,7 @@
     restarting: Mutex<Vec<usize>>,
     running_servers: Mutex<Vec<RunningServer>>,
     /// Number of server addresses used so far.
-    num_server_addresses: AtomicUsize,
+    num_used_server_addresses: AtomicUsize,
 }
 
 /// A server that is running and listed.
@@ -106,7 +106,7 @@
             addresses,
             restarting: Mutex::default(),
             running_servers: Mutex::default(),
-            num_server_addresses: AtomicUsize::new(0),
+            num_used_server_addresses: AtomicUsize::new(0),
         }))
     }
 
@@ -132,36 +132,36 @@
     ///
     /// # Errors
     /// The server cannot listen on its address.
-    pub fn start_new_server(&self, is_cold: bool, seed: u64) -> std::io::Result<()> {
+    pub fn start_new_server(&self, has_slow_start: bool, seed: u64) -> std::io::Result<()> {
         let mut rng = SmallRng::seed_from_u64(seed);
         let number = self.record.lock().servers.len();
         let zone = rng.random_range(0..ZONES.len());
         let cell = rng.random_range(0..NUM_CELLS);
-        let address_index = self.num_server_addresses.fetch_add(1, Ordering::SeqCst);
+        let address_index = self.num_used_server_addresses.fetch_add(1, Ordering::SeqCst);
         let identity = ServerIdentity { name: format!("s-{number:03}"), address_index, zone, cell };
-        self.start_server(identity, is_cold, &mut rng)
+        self.start_server(identity, has_slow_start, &mut rng)
     }
 
     /// Starts a cold server under the name and address of one that has stopped.
     ///
     /// # Errors
     /// The server cannot listen on its address.
-    pub fn start_server_again(&self, identity: ServerIdentity, seed: u64) -> std::io::Result<()> {
+    pub fn restart_server(&self, identity: ServerIdentity, seed: u64) -> std::io::Result<()> {
         self.start_server(identity, true, &mut SmallRng::seed_from_u64(seed))
     }
 
     fn start_server(
         &self,
         identity: ServerIdentity,
-        is_cold: bool,
+        has_slow_start: bool,
         rng: &mut SmallRng,
     ) -> std::io::Result<()> {
         let ServerIdentity { name, address_index, zone, cell } = identity;
         let number = self.record.lock().servers.len();
         let address: SocketAddr = self.addresses.server(address_index);
         let latency = Duration::from_millis(rng.random_range(4..60));
-        let started_at = is_cold.then(Instant::now);
-        let options = ServerOptions { number, address_index, address, latency, cold_since: started_at };
+        let started_at = has_slow_start.then(Instant::now);
+        let options = ServerOptions { number, address_index, address, latency, slow_start_since: started_at };
         let server = Server::start(&options, &self.deployment, self.record.clone())?;
         self.record.lock().servers.push(ServerRecord {
             name: name.clone(),
@@ -171,7 +171,7 @@
             withdrawn_at: None,
         });
         self.running_servers().push(RunningServer { name: name.clone(), server });
-        self.discovery.announce(ListedServer::serving(number, name, address, zone, cell, is_cold));
+        self.discovery.announce(ListedServer::serving(number, name, address, zone, cell, has_slow_start));
         Ok(())
     }
 
@@ -200,7 +200,7 @@
 
     /// Marks a limiter as restarting. Returns false, and does nothing, if the limiter is not serving or if
     /// too many others are restarting.
-    pub fn begin_restart(&self, limiter: usize) -> bool {
+    pub fn try_begin_restart(&self, limiter: usize) -> bool {
         let mut restarting = self.restarting();
         let too_many = restarting.len() * RESTARTING_DIVISOR >= self.limiters.len();
         if too_many || restarting.contains(&limiter) || !self.limiters[limiter].accepts_clients() {
@@ -210,13 +210,13 @@
         true
     }
 
-    /// Ends what [`Harness::begin_restart`] began.
+    /// Ends what [`Harness::try_begin_restart`] began.
     pub fn end_restart(&self, limiter: usize) {
         self.restarting().retain(|other| *other != limiter);
     }
 
     /// Waits until no limiter is restarting.
-    pub async fn restarts_finished(&self) {
+    pub async fn wait_for_restarts(&self) {
         while !self.restarting().is_empty() {
             sleep(RESTART_POLL_INTERVAL).await;
         }
--- a/soak/src/http.rs
+++ b/soak/src/http.rs
@@ -76,7 +76,7 @@
                 let body_length = message.header("content-length").and_then(|text| text.parse().ok());
                 let end = body_start + body_length.unwrap_or(0);
                 while self.buffer.len() < end {
-                    self.fill(ReadError::Incomplete).await?;
+                    self.fill_buffer(ReadError::Incomplete).await?;
                 }
                 message.body = self.buffer[body_start..end].to_vec();
                 message.first_byte_at = first_byte_at;
@@ -86,8 +86,8 @@
             if self.buffer.len() > MAX_HEAD_BYTES {
                 return Err(ReadError::Malformed);
             }
-            let at_end = if self.buffer.is_empty() { ReadError::Ended } else { ReadError::Incomplete };
-            self.fill(at_end).await?;
+            let end_error = if self.buffer.is_empty() { ReadError::Ended } else { ReadError::Incomplete };
+            self.fill_buffer(end_error).await?;
             first_byte_at = first_byte_at.or_else(|| Some(Instant::now()));
         }
     }
@@ -95,18 +95,18 @@
     /// Reads more bytes into the buffer. Cancelling loses no bytes.
     ///
     /// # Errors
-    /// `at_end` if the connection has ended.
-    async fn fill(&mut self, at_end: ReadError) -> Result<(), ReadError> {
+    /// `end_error` if the connection has ended.
+    async fn fill_buffer(&mut self, end_error: ReadError) -> Result<(), ReadError> {
         match self.stream.read_buf(&mut self.buffer).await {
             Ok(length) if length > 0 => Ok(()),
-            _ => Err(at_end),
+            _ => Err(end_error),
         }
     }
 
     /// Waits until the peer closes the connection. Bytes that arrive until then are stored for the next read.
     /// Cancelling loses no bytes.
     pub async fn closed_by_peer(&mut self) {
-        while self.fill(ReadError::Ended).await.is_ok() {}
+        while self.fill_buffer(ReadError::Ended).await.is_ok() {}
     }
 }
 
--- a/soak/src/invariants/attempts.rs
+++ b/soak/src/invariants/attempts.rs
@@ -4,7 +4,7 @@
 
 use super::{seconds_between, FinishedRun, Invariant, Timing, Violation};
 use crate::deployment::{DedupScope, Idempotency};
-use crate::record::{Attempt, ClientRequest, Outcome, RequestId, ServerRecord, HARNESS_DELAY};
+use crate::record::{Attempt, ClientRequest, Outcome, RequestId, ServerRecord, MAX_HARNESS_DELAY};
 
 /// No new request may reach a server this long after the limiter was notified of its withdrawal: 250 ms of
 /// grace by the operators' rules, and 50 ms of slack on sockets.
@@ -47,20 +47,20 @@
     fn was_read_late(&self, attempt: &Attempt) -> bool {
         let read_at = attempt.first_byte_at;
         self.record.server_stalls.iter().any(|stall| {
-            stall.server == attempt.server && stall.from <= read_at && read_at <= stall.to + HARNESS_DELAY
+            stall.server == attempt.server && stall.from <= read_at && read_at <= stall.to + MAX_HARNESS_DELAY
         })
     }
 
     fn check_draining(&self, id: RequestId, request: &ClientRequest, attempt: &Attempt) -> Option<Violation> {
         let notified_at = self.withdrawal_notified_at(request, attempt.server)?;
-        if attempt.first_byte_at <= notified_at + DRAIN_GRACE + HARNESS_DELAY {
+        if attempt.first_byte_at <= notified_at + DRAIN_GRACE + MAX_HARNESS_DELAY {
             return None;
         }
         let delay = attempt.first_byte_at - notified_at;
         let limiter = request.limiter;
         let server = &self.record.servers[attempt.server].name;
         let description = format!("limiter {limiter} forwarded to {server} {delay:?} after its withdrawal");
-        Some(Violation::of_request(Invariant::Draining, Timing::Measured, id, description))
+        Some(Violation::for_request(Invariant::Draining, Timing::Measured, id, description))
     }
 
     /// Checks that a request which may have been executed, by the attempt `executed`, is retried only as its
@@ -79,7 +79,7 @@
             return None;
         }
         let description = format!("{idempotency:?}: executed at {}, retried at {}", from.name, to.name);
-        Some(Violation::of_request(Invariant::SingleExecution, Timing::Independent, id, description))
+        Some(Violation::for_request(Invariant::SingleExecution, Timing::Independent, id, description))
     }
 
     /// Checks that a request with an idempotency key, which the attempt `executed` may have executed, is
@@ -92,24 +92,24 @@
         attempt: &Attempt,
     ) -> Option<Violation> {
         let class = &self.deployment.classes[request.class];
-        let window_end = executed.last_byte_at + class.dedup_window + DEDUP_WINDOW_SLACK + HARNESS_DELAY;
+        let window_end = executed.last_byte_at + class.dedup_window + DEDUP_WINDOW_SLACK + MAX_HARNESS_DELAY;
         let has_key = matches!(class.idempotency, Idempotency::WithKey(_));
         if !has_key || attempt.last_byte_at <= window_end {
             return None;
         }
         let description = "retried after the deduplication window".to_string();
-        Some(Violation::of_request(Invariant::SingleExecution, Timing::Independent, id, description))
+        Some(Violation::for_request(Invariant::SingleExecution, Timing::Independent, id, description))
     }
 }
 
 fn check_propagated_deadline(id: RequestId, request: &ClientRequest, attempt: &Attempt) -> Option<Violation> {
     let left_s = request.timeout.as_secs_f64() - seconds_between(request.written_at, attempt.last_byte_at);
     let propagated_s = attempt.propagated_deadline_s.unwrap_or(f64::INFINITY);
-    if propagated_s <= left_s.max(0.0) + DEADLINE_SLACK_S + HARNESS_DELAY.as_secs_f64() {
+    if propagated_s <= left_s.max(0.0) + DEADLINE_SLACK_S + MAX_HARNESS_DELAY.as_secs_f64() {
         return None;
     }
     let description = format!("propagated a deadline of {propagated_s:.3} s, {left_s:.3} s were left");
-    Some(Violation::of_request(Invariant::PropagatedDeadline, Timing::Measured, id, description))
+    Some(Violation::for_request(Invariant::PropagatedDeadline, Timing::Measured, id, description))
 }
 
 fn check_disconnected_client(id: RequestId, request: &ClientRequest, attempt: &Attempt) -> Option<Violation> {
@@ -117,22 +117,22 @@
         return None;
     }
     let disconnected_at = request.ended_at?;
-    if attempt.first_byte_at <= disconnected_at + DISCONNECT_GRACE + HARNESS_DELAY {
+    if attempt.first_byte_at <= disconnected_at + DISCONNECT_GRACE + MAX_HARNESS_DELAY {
         return None;
     }
     let delay = attempt.first_byte_at - disconnected_at;
     let description = format!("an attempt began {delay:?} after its client disconnected");
-    Some(Violation::of_request(Invariant::Response, Timing::Measured, id, description))
+    Some(Violation::for_request(Invariant::Response, Timing::Measured, id, description))
 }
 
 fn check_overlap(id: RequestId, previous: &Attempt, attempt: &Attempt) -> Option<Violation> {
     let previous_ended_at = previous.ended_at.unwrap_or(previous.last_byte_at);
-    if previous_ended_at <= attempt.last_byte_at + HARNESS_DELAY {
+    if previous_ended_at <= attempt.last_byte_at + MAX_HARNESS_DELAY {
         return None;
     }
     let overlap = previous_ended_at - attempt.last_byte_at;
     let description = format!("two attempts were in flight at the same time for {overlap:?}");
-    Some(Violation::of_request(Invariant::SingleExecution, Timing::Measured, id, description))
+    Some(Violation::for_request(Invariant::SingleExecution, Timing::Measured, id, description))
 }
 
 /// Returns the first attempt that may have been executed.
--- a/soak/src/invariants/ceilings.rs
+++ b/soak/src/invariants/ceilings.rs
@@ -29,10 +29,10 @@
         for (key, mut spendings) in self.spendings_under_ceilings() {
             let Some(ceiling) = self.deployment.plans[key.plan].ceiling else { continue };
             spendings.sort_by_key(|spending| spending.at);
-            if let Some(excess) = first_excess(ceiling, &spendings) {
+            if let Some(overdraft) = first_overdraft(ceiling, &spendings) {
                 let customer = key.customer;
-                let description = format!("customer {customer} is {excess:.1} units beyond its ceiling");
-                violations.push(Violation::of_fleet(Invariant::Ceiling, Timing::Measured, description));
+                let description = format!("customer {customer} is {overdraft:.1} units beyond its ceiling");
+                violations.push(Violation::for_fleet(Invariant::Ceiling, Timing::Measured, description));
             }
         }
         violations
@@ -54,7 +54,7 @@
 }
 
 /// Returns by how many units the bucket of a ceiling is overdrawn when it first exceeds the slack.
-fn first_excess(ceiling: Ceiling, spendings: &[Spending]) -> Option<f64> {
+fn first_overdraft(ceiling: Ceiling, spendings: &[Spending]) -> Option<f64> {
     let mut level = ceiling.burst;
     let mut refilled_at = spendings.first()?.at;
     for spending in spendings {
--- a/soak/src/invariants/mod.rs
+++ b/soak/src/invariants/mod.rs
@@ -83,7 +83,7 @@
 
 impl Violation {
     /// A violation by one request.
-    fn of_request(
+    fn for_request(
         invariant: Invariant,
         timing: Timing,
         request: RequestId,
@@ -93,7 +93,7 @@
     }
 
     /// A violation that concerns no single request.
-    fn of_fleet(invariant: Invariant, timing: Timing, description: String) -> Violation {
+    fn for_fleet(invariant: Invariant, timing: Timing, description: String) -> Violation {
         Violation { invariant, timing, request: None, description }
     }
 }
--- a/soak/src/invariants/notifications.rs
+++ b/soak/src/invariants/notifications.rs
@@ -7,13 +7,14 @@
 
 /// Where lists are subscribed to, a change counts as notified this long after discovery had it and was
 /// reachable.
-const NOTIFICATION_TIME: Duration = Duration::from_secs(6);
+const MAX_NOTIFICATION_DELAY: Duration = Duration::from_secs(6);
 
 impl FinishedRun<'_> {
     /// Returns when the limiter of a request counted as notified that a server is draining or removed.
     pub(super) fn withdrawal_notified_at(&self, request: &ClientRequest, server: usize) -> Option<Instant> {
         let withdrawn_at = self.record.servers[server].withdrawn_at?;
-        let written_at = self.record.withdrawals_notified.get(&notification_key(request, server)).copied();
+        let written_at =
+            self.record.withdrawal_notifications.get(&notification_key(request, server)).copied();
         self.notified_at(request, withdrawn_at, written_at)
     }
 
@@ -24,7 +25,7 @@
         server: usize,
         started_at: Instant,
     ) -> Option<Instant> {
-        let written_at = self.record.starts_notified.get(&notification_key(request, server)).copied();
+        let written_at = self.record.start_notifications.get(&notification_key(request, server)).copied();
         self.notified_at(request, started_at, written_at)
     }
 
@@ -40,7 +41,7 @@
         let started_at = incarnations.get(request.incarnation)?.started_at;
         // A process that starts while discovery is silent cannot learn what discovery announced before.
         let reachable_at = self.reachable_from(changed_at).max(self.reachable_from(started_at));
-        let delay = if self.deployment.subscribes { NOTIFICATION_TIME } else { Duration::ZERO };
+        let delay = if self.deployment.subscribes { MAX_NOTIFICATION_DELAY } else { Duration::ZERO };
         let latest = reachable_at + delay;
         Some(written_at.map_or(latest, |written_at| written_at.min(latest)))
     }
--- a/soak/src/invariants/processes.rs
+++ b/soak/src/invariants/processes.rs
@@ -34,5 +34,5 @@
 }
 
 fn process_violation(description: String) -> Violation {
-    Violation::of_fleet(Invariant::Process, Timing::Independent, description)
+    Violation::for_fleet(Invariant::Process, Timing::Independent, description)
 }
--- a/soak/src/invariants/responses.rs
+++ b/soak/src/invariants/responses.rs
@@ -4,13 +4,13 @@
 use super::{FinishedRun, Invariant, Timing, Violation};
 use crate::clients::RESPONSE_GRACE;
 use crate::deployment::{DedupScope, Idempotency};
-use crate::record::{ClientRequest, Outcome, RequestId, HARNESS_DELAY};
+use crate::record::{ClientRequest, Outcome, RequestId, MAX_HARNESS_DELAY};
 
 impl FinishedRun<'_> {
     /// Checks the outcome of a request for its client.
     pub(super) fn check_response(&self, id: RequestId, request: &ClientRequest) -> Option<Violation> {
         let violation =
-            |timing, description| Some(Violation::of_request(Invariant::Response, timing, id, description));
+            |timing, description| Some(Violation::for_request(Invariant::Response, timing, id, description));
         match request.outcome.as_ref()? {
             Outcome::Closed | Outcome::TimedOut if self.was_killed(request) => None,
             Outcome::Closed => {
@@ -49,7 +49,7 @@
             return None;
         }
         let description = "rejected, although it may have been executed".to_string();
-        Some(Violation::of_request(Invariant::SingleExecution, Timing::Independent, id, description))
+        Some(Violation::for_request(Invariant::SingleExecution, Timing::Independent, id, description))
     }
 
     /// Returns whether the limiter was killed before the request ended.
@@ -57,6 +57,6 @@
         let incarnations = self.record.incarnations.get(&request.limiter);
         let incarnation = incarnations.and_then(|incarnations| incarnations.get(request.incarnation));
         let Some(killed_at) = incarnation.and_then(|incarnation| incarnation.killed_at) else { return false };
-        request.ended_at.is_none_or(|ended_at| killed_at <= ended_at + HARNESS_DELAY)
+        request.ended_at.is_none_or(|ended_at| killed_at <= ended_at + MAX_HARNESS_DELAY)
     }
 }
--- a/soak/src/invariants/slow_start.rs
+++ b/soak/src/invariants/slow_start.rs
@@ -7,16 +7,16 @@
 use crate::record::Attempt;
 
 /// Time over which the throughput of warm servers is reported beside a violation.
-const THROUGHPUT_TIME: Duration = Duration::from_secs(5);
+const THROUGHPUT_PERIOD: Duration = Duration::from_secs(5);
 
 /// A window of time at one server.
-struct Window {
+struct OverloadWindow {
     server: usize,
     from: Instant,
     to: Instant,
 }
 
-impl Window {
+impl OverloadWindow {
     fn contains(&self, attempt: &Attempt) -> bool {
         attempt.server == self.server && (self.from..self.to).contains(&attempt.last_byte_at)
     }
@@ -52,30 +52,36 @@
                 return None;
             }
             let to = *from + self.deployment.overload_time;
-            let window = Window { server, from: *from, to };
+            let window = OverloadWindow { server, from: *from, to };
             let count = arrivals[index..].iter().take_while(|arrival| **arrival < to).count();
             let budget = self.deployment.slow_start_budget(age);
-            if count as f64 > budget && self.is_by_notified_limiters(&window, started_at) {
-                return Some(self.overload(&window, age, count, budget));
+            if count as f64 > budget && self.is_mostly_from_notified_limiters(&window, started_at) {
+                return Some(self.overload_violation(&window, age, count, budget));
             }
         }
         None
     }
 
-    fn overload(&self, window: &Window, age: Duration, count: usize, budget: f64) -> Violation {
+    fn overload_violation(
+        &self,
+        window: &OverloadWindow,
+        age: Duration,
+        count: usize,
+        budget: f64,
+    ) -> Violation {
         let name = &self.record.servers[window.server].name;
         let throughput = self.warm_throughput_per_s(window.from);
         let capacity = self.deployment.capacity_per_s;
         let description = format!(
             "{name} received {count} requests from the age of {age:?} on, the budget is {budget:.1}; warm servers \
-             received {throughput:.1}/s in the {THROUGHPUT_TIME:?} before, and have a capacity of {capacity:.1}/s"
+             received {throughput:.1}/s in the {THROUGHPUT_PERIOD:?} before, and have a capacity of {capacity:.1}/s"
         );
-        Violation::of_fleet(Invariant::SlowStart, Timing::Measured, description)
+        Violation::for_fleet(Invariant::SlowStart, Timing::Measured, description)
     }
 
     /// Returns whether limiters that counted as notified of the server's start sent more than two thirds of
     /// the requests in a window.
-    fn is_by_notified_limiters(&self, window: &Window, started_at: Instant) -> bool {
+    fn is_mostly_from_notified_limiters(&self, window: &OverloadWindow, started_at: Instant) -> bool {
         let mut num_requests = 0;
         let mut num_by_notified = 0;
         for attempt in self.record.attempts.iter().filter(|attempt| window.contains(attempt)) {
@@ -96,13 +102,13 @@
         let mut servers = HashSet::new();
         for attempt in &self.record.attempts {
             let arrived_at = attempt.last_byte_at;
-            let is_recent = arrived_at <= moment && arrived_at + THROUGHPUT_TIME > moment;
+            let is_recent = arrived_at <= moment && arrived_at + THROUGHPUT_PERIOD > moment;
             if is_recent && self.is_warm(attempt.server, moment) {
                 num_requests += 1;
                 servers.insert(attempt.server);
             }
         }
-        f64::from(num_requests) / THROUGHPUT_TIME.as_secs_f64() / servers.len().max(1) as f64
+        f64::from(num_requests) / THROUGHPUT_PERIOD.as_secs_f64() / servers.len().max(1) as f64
     }
 
     fn is_warm(&self, server: usize, moment: Instant) -> bool {
--- a/soak/src/limiter_process/mod.rs
+++ b/soak/src/limiter_process/mod.rs
@@ -110,7 +110,7 @@
     pub async fn start(self: &Arc<Self>, configured_list: Value) {
         let incarnation = self.record.lock().incarnations.get(&self.number).map_or(0, Vec::len);
         let configuration = self.write_configuration(&configured_list);
-        let child = match self.command(&configuration, incarnation).spawn() {
+        let child = match self.build_command(&configuration, incarnation).spawn() {
             Ok(child) => child,
             Err(error) => return self.record_fault(&format!("cannot be started: {error}")),
         };
@@ -127,7 +127,7 @@
         self.wait_until_ready(incarnation).await;
     }
 
-    fn command(&self, configuration: &Path, incarnation: usize) -> Command {
+    fn build_command(&self, configuration: &Path, incarnation: usize) -> Command {
         let mut command = Command::new(&self.options.program);
         command.env("ROUTER_CONFIG", configuration);
         command.env("LIMITER_LOG", self.options.log_level);
@@ -153,7 +153,7 @@
         if let Some(stderr) = child.stderr.take() {
             let mut lines = BufReader::new(stderr).lines();
             while let Ok(Some(line)) = lines.next_line().await {
-                self.observe_log_line(&line, log.as_mut());
+                self.check_log_line(&line, log.as_mut());
             }
         }
         let exit_code = child.wait().await.ok().and_then(|status| status.code());
@@ -164,7 +164,7 @@
         });
     }
 
-    fn observe_log_line(&self, line: &str, log: Option<&mut File>) {
+    fn check_log_line(&self, line: &str, log: Option<&mut File>) {
         if FAULT_LOG_TEXTS.iter().any(|text| line.contains(text)) {
             self.record_fault(line);
         }
@@ -264,7 +264,7 @@
     }
 
     /// Writes a configuration with the address of the limiter's other agent of discovery, and sends SIGHUP.
-    pub fn move_discovery(&self) {
+    pub fn switch_discovery_agent(&self) {
         self.agent.fetch_xor(1, Ordering::SeqCst);
         self.write_configuration(&self.discovery.complete_list());
         self.signal(Signal::SIGHUP);
--- a/soak/src/main.rs
+++ b/soak/src/main.rs
@@ -65,7 +65,7 @@
     /// Plays several seeds, one after the other.
     Many {
         /// The seeds, as A..B without B.
-        #[arg(long, value_parser = parse_seeds)]
+        #[arg(long, value_parser = parse_seed_range)]
         seeds: Range<u64>,
         #[command(flatten)]
         options: RunOptions,
@@ -77,19 +77,19 @@
 /// The argument for seeds is not a range.
 #[derive(Debug, thiserror::Error)]
 #[error("seeds are A..B, without B")]
-struct InvalidSeeds;
+struct InvalidSeedRange;
 
-fn parse_seeds(text: &str) -> Result<Range<u64>, InvalidSeeds> {
-    let (from, to) = text.split_once("..").ok_or(InvalidSeeds)?;
-    let from = from.parse().map_err(|_| InvalidSeeds)?;
-    let to = to.parse().map_err(|_| InvalidSeeds)?;
+fn parse_seed_range(text: &str) -> Result<Range<u64>, InvalidSeedRange> {
+    let (from, to) = text.split_once("..").ok_or(InvalidSeedRange)?;
+    let from = from.parse().map_err(|_| InvalidSeedRange)?;
+    let to = to.parse().map_err(|_| InvalidSeedRange)?;
     Ok(from..to)
 }
 
 fn main() -> ExitCode {
     let result = match Cli::parse().command {
-        Command::Run { seed, options } => play_seeds(seed..seed + 1, &options),
-        Command::Many { seeds, options } => play_seeds(seeds, &options),
+        Command::Run { seed, options } => run_seeds(seed..seed + 1, &options),
+        Command::Many { seeds, options } => run_seeds(seeds, &options),
         Command::Cost(options) => block_on(cost::measure(&options)).map(|()| ExitCode::SUCCESS),
     };
     result.unwrap_or_else(|error| {
@@ -99,11 +99,11 @@
 }
 
 /// Plays seeds one after the other. The exit code tells whether all of them passed.
-fn play_seeds(seeds: Range<u64>, options: &RunOptions) -> io::Result<ExitCode> {
+fn run_seeds(seeds: Range<u64>, options: &RunOptions) -> io::Result<ExitCode> {
     let num_seeds = seeds.clone().count();
     let mut failed = Vec::new();
     for seed in seeds {
-        let violations = block_on(run::play(seed, options))?;
+        let violations = block_on(run::run_seed(seed, options))?;
         if !violations.is_empty() {
             failed.push(seed);
         }
--- a/soak/src/net.rs
+++ b/soak/src/net.rs
@@ -8,7 +8,7 @@
 use tokio::net::{TcpListener, TcpStream};
 
 /// Length of the accept queue.
-pub const ACCEPT_QUEUE: i32 = 1024;
+pub const ACCEPT_QUEUE_LENGTH: i32 = 1024;
 
 /// Listens on an address, also immediately after another listener on that address was closed.
 ///
@@ -19,16 +19,16 @@
     socket.set_reuse_address(true)?;
     socket.set_nonblocking(true)?;
     socket.bind(&address.into())?;
-    socket.listen(ACCEPT_QUEUE)?;
+    socket.listen(ACCEPT_QUEUE_LENGTH)?;
     TcpListener::from_std(socket.into())
 }
 
 /// Makes the close of a connection a reset.
-pub fn reset_on_close(stream: &TcpStream) {
+pub fn enable_reset_on_close(stream: &TcpStream) {
     let _ = SockRef::from(stream).set_linger(Some(Duration::ZERO));
 }
 
 /// Makes the close of a connection graceful again.
-pub fn close_gracefully(stream: &TcpStream) {
+pub fn disable_reset_on_close(stream: &TcpStream) {
     let _ = SockRef::from(stream).set_linger(None);
 }
--- a/soak/src/record.rs
+++ b/soak/src/record.rs
@@ -9,7 +9,7 @@
 
 /// How late the harness itself may read or write, because its tasks share the machine with the limiters.
 /// Every check of a measured time allows for this.
-pub const HARNESS_DELAY: Duration = Duration::from_millis(40);
+pub const MAX_HARNESS_DELAY: Duration = Duration::from_millis(40);
 
 /// How a request ended for its client.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -160,9 +160,9 @@
     /// Servers by number.
     pub servers: Vec<ServerRecord>,
     /// When discovery wrote to a limiter that a server is draining or removed.
-    pub withdrawals_notified: HashMap<NotificationKey, Instant>,
+    pub withdrawal_notifications: HashMap<NotificationKey, Instant>,
     /// When discovery wrote to a limiter that a server is serving.
-    pub starts_notified: HashMap<NotificationKey, Instant>,
+    pub start_notifications: HashMap<NotificationKey, Instant>,
     /// Outages of discovery.
     pub outages: Vec<Outage>,
     /// Stalls of stand-in servers.
--- a/soak/src/report.rs
+++ b/soak/src/report.rs
@@ -12,7 +12,7 @@
 /// Most violations that are printed, each with the timeline of its request.
 const MAX_PRINTED_VIOLATIONS: usize = 8;
 /// Time before and after a request whose fault events belong to the timeline.
-const EVENTS_AROUND_S: f64 = 1.5;
+const EVENT_MARGIN_S: f64 = 1.5;
 /// Significant digits of the latency histogram.
 const LATENCY_DIGITS: u8 = 2;
 
@@ -27,7 +27,7 @@
     /// The violations.
     pub violations: &'a [Violation],
     /// The beginning of the run; times are printed relative to it.
-    pub began_at: Instant,
+    pub started_at: Instant,
 }
 
 impl Report<'_> {
@@ -107,7 +107,7 @@
         for attempt in self.record.attempts.iter().filter(|attempt| attempt.request == id) {
             self.print_attempt(attempt);
         }
-        let ended_s = request.ended_at.map_or(f64::NAN, |ended_at| self.seconds(ended_at));
+        let ended_s = request.ended_at.map_or(f64::NAN, |ended_at| self.seconds_since_start(ended_at));
         println!("    {ended_s:9.3} {:?}", request.outcome);
         self.print_events_around(request);
     }
@@ -115,7 +115,7 @@
     fn print_request(&self, id: RequestId, request: &ClientRequest) {
         println!(
             "    {:9.3} request r-{id} written to limiter {} (incarnation {}), class {}, plan {}, customer {}, timeout {:?}",
-            self.seconds(request.written_at),
+            self.seconds_since_start(request.written_at),
             request.limiter,
             request.incarnation,
             self.deployment.classes[request.class].name,
@@ -129,21 +129,22 @@
         let server = &self.record.servers[attempt.server];
         println!(
             "    {:9.3} attempt at {} (zone {}, cell {}), propagated deadline {:?} s, ended {:?}{}",
-            self.seconds(attempt.first_byte_at),
+            self.seconds_since_start(attempt.first_byte_at),
             server.name,
             server.zone,
             server.cell,
             attempt.propagated_deadline_s,
-            attempt.ended_at.map(|ended_at| self.seconds(ended_at)),
+            attempt.ended_at.map(|ended_at| self.seconds_since_start(ended_at)),
             if attempt.is_unprocessed { ", unprocessed" } else { "" },
         );
     }
 
     fn print_events_around(&self, request: &ClientRequest) {
-        let from_s = self.seconds(request.written_at) - EVENTS_AROUND_S;
-        let to_s = request.ended_at.map_or(f64::MAX, |ended_at| self.seconds(ended_at)) + EVENTS_AROUND_S;
+        let from_s = self.seconds_since_start(request.written_at) - EVENT_MARGIN_S;
+        let to_s =
+            request.ended_at.map_or(f64::MAX, |ended_at| self.seconds_since_start(ended_at)) + EVENT_MARGIN_S;
         for event in &self.record.events {
-            let at_s = self.seconds(event.at);
+            let at_s = self.seconds_since_start(event.at);
             if (from_s..to_s).contains(&at_s) {
                 println!("      {at_s:9.3} {}", event.text);
             }
@@ -151,7 +152,7 @@
     }
 
     /// Returns the time since the beginning of the run in seconds.
-    fn seconds(&self, moment: Instant) -> f64 {
-        moment.saturating_duration_since(self.began_at).as_secs_f64()
+    fn seconds_since_start(&self, moment: Instant) -> f64 {
+        moment.saturating_duration_since(self.started_at).as_secs_f64()
     }
 }
--- a/soak/src/run/mod.rs
+++ b/soak/src/run/mod.rs
@@ -63,7 +63,7 @@
 }
 
 /// Everything that a seed decides, for a given number of limiters and servers.
-struct Draw {
+struct RunParameters {
     deployment: Deployment,
     /// The environment of the fault injection library.
     library_environment: Vec<EnvironmentVariable>,
@@ -76,9 +76,9 @@
     fault_rng: StdRng,
 }
 
-impl Draw {
+impl RunParameters {
     /// Draws a run. The order of the draws decides what a seed means and must not change.
-    fn new(seed: u64, limiters: usize, servers: usize) -> Draw {
+    fn draw(seed: u64, limiters: usize, servers: usize) -> RunParameters {
         let mut rng = StdRng::seed_from_u64(seed);
         let deployment = Deployment::draw(&mut rng, limiters, servers);
         let library_environment = draw_library_environment(&mut rng, &deployment);
@@ -87,7 +87,7 @@
         for _ in 0..deployment.servers {
             let _: u64 = rng.random();
         }
-        Draw {
+        RunParameters {
             deployment,
             library_environment,
             harness_seed,
@@ -121,24 +121,24 @@
 ///
 /// # Errors
 /// A stand-in cannot listen, or the program or the folder does not exist.
-pub async fn play(seed: u64, options: &RunOptions) -> io::Result<Vec<Violation>> {
-    let mut draw = Draw::new(seed, options.limiters, options.servers);
+pub async fn run_seed(seed: u64, options: &RunOptions) -> io::Result<Vec<Violation>> {
+    let mut parameters = RunParameters::draw(seed, options.limiters, options.servers);
     let folder = options.folder.join(format!("{}-{seed}", std::process::id()));
     std::fs::create_dir_all(&folder)?;
     let record = Arc::new(SharedRecord::default());
-    let launch_options = launch_options(&draw, options, &folder)?;
-    let began_at = Instant::now();
-    let harness = Harness::new(launch_options, record.clone(), draw.harness_seed).await?;
-    harness.start(&mut draw.server_rng).await?;
-    inject_faults(&harness, &mut draw, Duration::from_secs(options.seconds)).await;
+    let launch_options = launch_options(&parameters, options, &folder)?;
+    let started_at = Instant::now();
+    let harness = Harness::new(launch_options, record.clone(), parameters.harness_seed).await?;
+    harness.start(&mut parameters.server_rng).await?;
+    inject_faults(&harness, &mut parameters, Duration::from_secs(options.seconds)).await;
     harness.stop().await;
     let record = record.lock();
-    let mut violations = FinishedRun::new(&record, &draw.deployment).violations();
+    let mut violations = FinishedRun::new(&record, &parameters.deployment).violations();
     if options.untimed {
         violations.retain(|violation| violation.timing == Timing::Independent);
     }
-    let deployment = &draw.deployment;
-    Report { seed, deployment, record: &record, violations: &violations, began_at }.print();
+    let deployment = &parameters.deployment;
+    Report { seed, deployment, record: &record, violations: &violations, started_at }.print();
     if violations.is_empty() {
         let _ = std::fs::remove_dir_all(&folder);
     } else {
@@ -147,28 +147,32 @@
     Ok(violations)
 }
 
-fn launch_options(draw: &Draw, options: &RunOptions, folder: &Path) -> io::Result<LaunchOptions> {
+fn launch_options(
+    parameters: &RunParameters,
+    options: &RunOptions,
+    folder: &Path,
+) -> io::Result<LaunchOptions> {
     Ok(LaunchOptions {
         program: options.program.canonicalize()?,
         folder: folder.to_path_buf(),
         log_level: "debug",
-        addresses: Addresses::of_process(),
-        deployment: draw.deployment.clone(),
+        addresses: Addresses::for_process(),
+        deployment: parameters.deployment.clone(),
         library: options.library.as_ref().map(|library| library.canonicalize()).transpose()?,
-        library_environment: draw.library_environment.clone(),
+        library_environment: parameters.library_environment.clone(),
     })
 }
 
 /// Sends requests and injects faults for the given time, and waits until all requests have ended.
-async fn inject_faults(harness: &Arc<Harness>, draw: &mut Draw, duration: Duration) {
-    if draw.has_quiet_start {
+async fn inject_faults(harness: &Arc<Harness>, parameters: &mut RunParameters, duration: Duration) {
+    if parameters.has_quiet_start {
         harness.record.record_event(format!("quiet period of {QUIET_PERIOD:?}"));
         sleep(QUIET_PERIOD).await;
     }
     let until = Instant::now() + duration;
-    let clients = tokio::spawn(harness.clients.clone().run(draw.clients_seed, until));
+    let clients = tokio::spawn(harness.clients.clone().run(parameters.clients_seed, until));
     let limit_checks = tokio::spawn(harness.clone().check_limits_until(until));
-    faults::inject_until(harness, until, &mut draw.fault_rng).await;
+    faults::inject_until(harness, until, &mut parameters.fault_rng).await;
     let _ = tokio::join!(clients, limit_checks);
     sleep(SETTLE_TIME).await;
 }
--- a/soak/src/run/tests.rs
+++ b/soak/src/run/tests.rs
@@ -1,27 +1,28 @@
-//! A seed keeps its meaning: the same deployment, the same failing system calls and the same faults.
+//! Pins the deployment, the failing system calls and the faults that each seed draws.
 
 use std::fmt::Write;
 
 use rand::Rng;
 
-use super::Draw;
+use super::RunParameters;
 use crate::faults::DrawnFault;
 
-/// Limiters and servers of the golden draws.
+/// Number of limiters in the golden files.
 const NUM_LIMITERS: usize = 24;
+/// Number of servers in the golden files.
 const NUM_SERVERS: usize = 12;
-/// Faults in a golden draw.
+/// Number of faults in each golden file.
 const NUM_FAULTS: usize = 60;
 
-/// Writes a draw in the form of the golden files.
-fn describe(mut draw: Draw) -> String {
+/// Formats the parameters of a run in the form of the golden files.
+fn format_parameters(mut parameters: RunParameters) -> String {
     let mut text = String::new();
-    let deployment = &draw.deployment;
+    let deployment = &parameters.deployment;
     writeln!(text, "{}", deployment.settings(0)).unwrap();
-    for variable in &draw.library_environment {
+    for variable in &parameters.library_environment {
         writeln!(text, "{}={}", variable.name, variable.value).unwrap();
     }
-    let undeclared = (
+    let outside_settings = (
         deployment.rate_per_s,
         deployment.capacity_per_s,
         deployment.min_timeout,
@@ -29,28 +30,32 @@
         deployment.gossip_loss,
         deployment.clock_offset_s,
     );
-    writeln!(text, "{undeclared:?}").unwrap();
-    writeln!(text, "network {}", draw.harness_seed).unwrap();
+    writeln!(text, "{outside_settings:?}").unwrap();
+    writeln!(text, "network {}", parameters.harness_seed).unwrap();
     for _ in 0..NUM_SERVERS {
-        writeln!(text, "server {}", draw.server_rng.random::<u64>()).unwrap();
+        writeln!(text, "server {}", parameters.server_rng.random::<u64>()).unwrap();
     }
-    writeln!(text, "quiet {}", draw.has_quiet_start).unwrap();
-    writeln!(text, "clients {}", draw.clients_seed).unwrap();
+    writeln!(text, "quiet {}", parameters.has_quiet_start).unwrap();
+    writeln!(text, "clients {}", parameters.clients_seed).unwrap();
     for _ in 0..NUM_FAULTS {
-        let DrawnFault { delay, fault, seed } = DrawnFault::draw(&mut draw.fault_rng).unwrap();
+        let DrawnFault { delay, fault, seed } = DrawnFault::draw(&mut parameters.fault_rng).unwrap();
         writeln!(text, "{delay:?} {fault:?} {seed}").unwrap();
     }
     text
 }
 
 #[test]
-fn a_seed_draws_the_same_deployment_and_faults() {
+fn seeds_draw_the_golden_deployments_and_faults() {
     let golden = [
         (1, include_str!("golden/seed-1.txt")),
         (2, include_str!("golden/seed-2.txt")),
         (3, include_str!("golden/seed-3.txt")),
     ];
     for (seed, expected) in golden {
-        assert_eq!(describe(Draw::new(seed, NUM_LIMITERS, NUM_SERVERS)), expected, "seed {seed}");
+        assert_eq!(
+            format_parameters(RunParameters::draw(seed, NUM_LIMITERS, NUM_SERVERS)),
+            expected,
+            "seed {seed}"
+        );
     }
 }
--- a/soak/src/server/accept.rs
+++ b/soak/src/server/accept.rs
@@ -10,7 +10,7 @@
 
 use super::{Reachability, Server};
 use crate::net;
-use crate::record::{ServerStall, HARNESS_DELAY};
+use crate::record::{ServerStall, MAX_HARNESS_DELAY};
 
 /// The accept loop runs at least this often, so that a stall of the harness can be recognized.
 const MAX_ACCEPT_WAIT: Duration = Duration::from_millis(20);
@@ -40,7 +40,7 @@
     /// Records a stall if the accept loop was late. Returns the time of this iteration.
     fn record_iteration(&self, last_iteration_at: Instant) -> Instant {
         let now = Instant::now();
-        if now.duration_since(last_iteration_at) > MAX_ACCEPT_WAIT + HARNESS_DELAY {
+        if now.duration_since(last_iteration_at) > MAX_ACCEPT_WAIT + MAX_HARNESS_DELAY {
             let stall = ServerStall { server: self.number, from: last_iteration_at, to: now };
             self.record.lock().server_stalls.push(stall);
         }
@@ -57,7 +57,7 @@
         while *reachability.borrow_and_update() != Reachability::Open && !self.is_stopped() {
             let _ = timeout(MAX_ACCEPT_WAIT, reachability.changed()).await;
         }
-        let _ = SockRef::from(listener).listen(net::ACCEPT_QUEUE);
+        let _ = SockRef::from(listener).listen(net::ACCEPT_QUEUE_LENGTH);
         drop(filler);
     }
 
--- a/soak/src/server/mod.rs
+++ b/soak/src/server/mod.rs
@@ -60,7 +60,7 @@
     /// Least time that a warm server takes for a request.
     pub latency: Duration,
     /// When the server started, if it starts cold.
-    pub cold_since: Option<Instant>,
+    pub slow_start_since: Option<Instant>,
 }
 
 /// A running server.
@@ -79,7 +79,7 @@
     /// Requests that are waiting for a slot.
     num_waiting: AtomicUsize,
     /// When the server started, if it started cold.
-    cold_since: Option<Instant>,
+    slow_start_since: Option<Instant>,
     deployment: Deployment,
     is_stopped: AtomicBool,
     record: Arc<SharedRecord>,
@@ -110,7 +110,7 @@
             slots: Semaphore::new(num_slots),
             max_waiting: MAX_WAITING_PER_SLOT * num_slots,
             num_waiting: AtomicUsize::new(0),
-            cold_since: options.cold_since,
+            slow_start_since: options.slow_start_since,
             deployment: deployment.clone(),
             is_stopped: AtomicBool::new(false),
             record,
--- a/soak/src/server/respond.rs
+++ b/soak/src/server/respond.rs
@@ -37,12 +37,12 @@
 impl Server {
     /// Serves the requests of a connection until either side closes it.
     pub(super) async fn serve(self: Arc<Self>, stream: TcpStream) {
-        net::reset_on_close(&stream);
+        net::enable_reset_on_close(&stream);
         let mut connection = Connection::new(stream);
         let idle_timeout = self.deployment.server_idle_timeout;
         loop {
             let Ok(Ok(request)) = timeout(idle_timeout, connection.read(MessageKind::Request)).await else {
-                net::close_gracefully(&connection.stream);
+                net::disable_reset_on_close(&connection.stream);
                 return;
             };
             let Some(attempt) = self.record_attempt(&request) else { return };
@@ -119,7 +119,7 @@
             return write(connection, REJECTION).await;
         }
         tokio::select! {
-            () = self.wait_and_work(latency) => {}
+            () = self.occupy_slot(latency) => {}
             () = connection.closed_by_peer() => return AfterResponse::Close,
         }
         write(connection, success).await
@@ -127,12 +127,12 @@
 
     /// Waits for a slot, and occupies it for the latency of the server, which is longer while the server is
     /// cold. Cancelling frees the slot, or ends the wait for one.
-    async fn wait_and_work(&self, latency: Duration) {
-        let waiting = CountWhileHeld::new(&self.num_waiting);
+    async fn occupy_slot(&self, latency: Duration) {
+        let waiting = CounterGuard::new(&self.num_waiting);
         let _slot = self.slots.acquire().await;
         drop(waiting);
         let fraction =
-            self.cold_since.map_or(1.0, |since| self.deployment.capacity_fraction(since.elapsed()));
+            self.slow_start_since.map_or(1.0, |since| self.deployment.capacity_fraction(since.elapsed()));
         sleep(latency.div_f64(fraction)).await;
     }
 }
@@ -159,16 +159,16 @@
 }
 
 /// Increments a counter, and decrements it when dropped.
-struct CountWhileHeld<'a>(&'a AtomicUsize);
+struct CounterGuard<'a>(&'a AtomicUsize);
 
-impl<'a> CountWhileHeld<'a> {
-    fn new(counter: &'a AtomicUsize) -> CountWhileHeld<'a> {
+impl<'a> CounterGuard<'a> {
+    fn new(counter: &'a AtomicUsize) -> CounterGuard<'a> {
         counter.fetch_add(1, Ordering::SeqCst);
-        CountWhileHeld(counter)
+        CounterGuard(counter)
     }
 }
 
-impl Drop for CountWhileHeld<'_> {
+impl Drop for CounterGuard<'_> {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::SeqCst);
     }
