--- a/soak/src/invariants/attempts.rs
+++ b/soak/src/invariants/attempts.rs
@@ -1,4 +1,4 @@
-//! When an attempt may begin, and when a request may be attempted again.
+//! Checks when an attempt may begin, and when and where a request may be retried.
 
 use std::time::Duration;
 
@@ -6,15 +6,15 @@
 use crate::deployment::{DedupScope, Idempotency};
 use crate::record::{Attempt, ClientRequest, Outcome, RequestId, ServerRecord, MAX_HARNESS_DELAY};
 
-/// No new request may reach a server this long after the limiter was notified of its withdrawal: 250 ms of
-/// grace by the operators' rules, and 50 ms of slack on sockets.
+/// Time after the notification of a server's withdrawal during which the limiter may still forward requests
+/// to the server: the 250 ms of grace that the operators allow, and 50 ms of slack for sockets.
 const DRAIN_GRACE: Duration = Duration::from_millis(250 + 50);
-/// No attempt may begin this long after its client has disconnected.
+/// Time after a client's disconnect during which an attempt for the client may still begin.
 const DISCONNECT_GRACE: Duration = Duration::from_millis(100);
-/// The propagated deadline may exceed the client's remaining time by this much.
+/// Seconds by which the propagated deadline may exceed the client's remaining time.
 const DEADLINE_SLACK_S: f64 = 0.15;
-/// Allowance for the time between a limiter's last check of the deduplication window and the arrival at the
-/// server.
+/// Allowance for the time between a limiter's last check of the deduplication window and the arrival of the
+/// attempt at the server.
 const DEDUP_WINDOW_SLACK: Duration = Duration::from_millis(50);
 
 impl FinishedRun<'_> {
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Returns whether the stand-in server may have read an attempt late through its own fault.
+    /// Returns whether the simulated server may have read an attempt late because of its own stall.
     fn was_read_late(&self, attempt: &Attempt) -> bool {
         let read_at = attempt.first_byte_at;
         self.record.server_stalls.iter().any(|stall| {
@@ -63,8 +63,8 @@
         Some(Violation::for_request(Invariant::Draining, Timing::Measured, id, description))
     }
 
-    /// Checks that a request which may have been executed, by the attempt `executed`, is retried only as its
-    /// class allows.
+    /// Checks that a request which the attempt `executed` may have executed is retried only where the request
+    /// class allows a retry.
     fn check_retry_location(
         &self,
         id: RequestId,
@@ -83,7 +83,7 @@
     }
 
     /// Checks that a request with an idempotency key, which the attempt `executed` may have executed, is
-    /// retried only while servers drop its duplicates.
+    /// retried only within the deduplication window.
     fn check_dedup_window(
         &self,
         id: RequestId,
@@ -135,7 +135,7 @@
     Some(Violation::for_request(Invariant::SingleExecution, Timing::Measured, id, description))
 }
 
-/// Returns the first attempt that may have been executed.
+/// Returns the first attempt that its server may have executed.
 fn first_possible_execution<'a>(attempts: &[&'a Attempt]) -> Option<&'a Attempt> {
     attempts.iter().find(|attempt| !attempt.is_unprocessed).copied()
 }
--- a/soak/src/invariants/ceilings.rs
+++ b/soak/src/invariants/ceilings.rs
@@ -1,4 +1,5 @@
-//! A customer's hard ceiling holds across all limiters, counted at the first attempt of each request.
+//! Checks each customer's hard ceiling across all limiters. The units of a request are charged at its first
+//! attempt.
 
 use std::collections::BTreeMap;
 use std::time::Instant;
@@ -6,7 +7,7 @@
 use super::{seconds_between, FinishedRun, Invariant, Timing, Violation};
 use crate::deployment::Ceiling;
 
-/// Tolerance for rounding errors in units.
+/// Tolerance for rounding errors, in units.
 const ROUNDING_TOLERANCE: f64 = 1e-6;
 
 /// A customer on a plan.
@@ -16,7 +17,7 @@
     customer: u64,
 }
 
-/// Units that were spent at a moment.
+/// Units that were charged at a moment.
 struct Spending {
     at: Instant,
     units: f64,
@@ -31,7 +32,7 @@
             spendings.sort_by_key(|spending| spending.at);
             if let Some(overdraft) = first_overdraft(ceiling, &spendings) {
                 let customer = key.customer;
-                let description = format!("customer {customer} is {overdraft:.1} units beyond its ceiling");
+                let description = format!("customer {customer} overdrew its ceiling by {overdraft:.1} units");
                 violations.push(Violation::for_fleet(Invariant::Ceiling, Timing::Measured, description));
             }
         }
@@ -53,7 +54,8 @@
     }
 }
 
-/// Returns by how many units the bucket of a ceiling is overdrawn when it first exceeds the slack.
+/// Returns by how many units the token bucket of a ceiling is overdrawn when the overdraft first exceeds the
+/// slack.
 fn first_overdraft(ceiling: Ceiling, spendings: &[Spending]) -> Option<f64> {
     let mut level = ceiling.burst;
     let mut refilled_at = spendings.first()?.at;
--- a/soak/src/invariants/mod.rs
+++ b/soak/src/invariants/mod.rs
@@ -1,14 +1,14 @@
-//! The invariants that limiters must keep, checked on the record of a run.
+//! The invariants that limiters must maintain, and the checks of them on the record of a run.
 //!
 //! | invariant | checked by |
 //! | --- | --- |
-//! | [`Invariant::Response`] | `responses`; `attempts`, for attempts after a disconnect of the client |
+//! | [`Invariant::Response`] | `responses`; `attempts`, for those that begin after a client's disconnect |
 //! | [`Invariant::SingleExecution`] | `attempts`, for overlaps and retries; `responses`, for rejections |
 //! | [`Invariant::PropagatedDeadline`] | `attempts` |
-//! | [`Invariant::Draining`] | `attempts`, from the times in `notifications` |
-//! | [`Invariant::SlowStart`] | `slow_start`, from the times in `notifications` |
+//! | [`Invariant::Draining`] | `attempts`, with the notification times from `notifications` |
+//! | [`Invariant::SlowStart`] | `slow_start`, with the notification times from `notifications` |
 //! | [`Invariant::Ceiling`] | `ceilings` |
-//! | [`Invariant::Process`] | `processes`, with the faults that the parties recorded during the run |
+//! | [`Invariant::Process`] | `processes`, with the faults of limiters that were recorded during the run |
 
 mod attempts;
 mod ceilings;
@@ -24,11 +24,11 @@
 use crate::deployment::Deployment;
 use crate::record::{Attempt, Record, RequestId};
 
-/// What a limiter guarantees.
+/// A guarantee of the limiters.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Invariant {
-    /// Every request that was read gets one response in time, and no attempt begins after its client has
-    /// disconnected.
+    /// Every request that a limiter read gets one response in time, and no attempt begins after the client
+    /// has disconnected.
     Response,
     /// A request is executed more than once only as its class allows, and never twice at the same time.
     SingleExecution,
@@ -36,11 +36,12 @@
     PropagatedDeadline,
     /// Servers that are draining or removed receive no new requests.
     Draining,
-    /// The load of all limiters does not overload a server during its slow start.
+    /// All limiters together do not overload a server during its slow start.
     SlowStart,
-    /// A hard ceiling holds across all limiters.
+    /// All limiters together keep within the hard ceiling of each customer.
     Ceiling,
-    /// Processes start, stay within their limits, log no violation, and exit with code 0.
+    /// Limiter processes start, stay within their resource limits, log no invariant violation, and exit with
+    /// code 0.
     Process,
 }
 
@@ -58,8 +59,8 @@
     }
 }
 
-/// Whether a violation depends on when the harness itself read or wrote something, and so on the load of the
-/// machine.
+/// Whether a violation depends on the times of the harness's own reads and writes, and thereby on the load of
+/// the machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Timing {
     /// The violation depends on times that the harness measured.
@@ -77,12 +78,12 @@
     pub timing: Timing,
     /// The request, if the violation concerns one.
     pub request: Option<RequestId>,
-    /// What happened.
+    /// Description of the violation.
     pub description: String,
 }
 
 impl Violation {
-    /// A violation by one request.
+    /// Creates a violation that concerns one request.
     fn for_request(
         invariant: Invariant,
         timing: Timing,
@@ -92,7 +93,7 @@
         Violation { invariant, timing, request: Some(request), description }
     }
 
-    /// A violation that concerns no single request.
+    /// Creates a violation that concerns no single request.
     fn for_fleet(invariant: Invariant, timing: Timing, description: String) -> Violation {
         Violation { invariant, timing, request: None, description }
     }
@@ -137,7 +138,7 @@
     }
 }
 
-/// Returns the signed time between two moments in seconds.
+/// Returns the signed time from one moment to another in seconds.
 fn seconds_between(from: Instant, to: Instant) -> f64 {
     to.saturating_duration_since(from).as_secs_f64() - from.saturating_duration_since(to).as_secs_f64()
 }
--- a/soak/src/invariants/processes.rs
+++ b/soak/src/invariants/processes.rs
@@ -1,10 +1,11 @@
-//! Limiter processes start, stay within their limits, log no violation, and exit with code 0.
+//! Checks that limiter processes start, stay within their resource limits, log no invariant violation, and
+//! exit with code 0.
 
 use super::{FinishedRun, Invariant, Timing, Violation};
 use crate::record::Incarnation;
 
 impl FinishedRun<'_> {
-    /// Reports all faults of limiter processes, and every process that ended unexpectedly.
+    /// Reports all recorded faults of limiter processes, and every process that ended unexpectedly.
     pub(super) fn check_processes(&self) -> Vec<Violation> {
         let mut violations = Vec::new();
         for fault in &self.record.process_faults {
@@ -24,8 +25,8 @@
     }
 }
 
-/// Returns whether a process ended without a signal of the harness, or with another exit code than 0 after
-/// SIGTERM.
+/// Returns whether a process ended without a signal from the harness, or with an exit code other than 0 after
+/// SIGTERM alone.
 fn ended_unexpectedly(incarnation: &Incarnation) -> bool {
     let was_killed = incarnation.killed_at.is_some();
     let was_terminated = incarnation.terminated_at.is_some();
--- a/soak/src/invariants/responses.rs
+++ b/soak/src/invariants/responses.rs
@@ -1,5 +1,5 @@
-//! Every request that a limiter read gets one final response in time, and a rejection means that a retry is
-//! safe.
+//! Checks that every request that a limiter read gets one final response in time, and that a rejected request
+//! can be retried safely.
 
 use super::{FinishedRun, Invariant, Timing, Violation};
 use crate::clients::RESPONSE_GRACE;
@@ -28,7 +28,7 @@
             }
             Outcome::Answered { status: 200, has_expected_body: false } => violation(
                 Timing::Independent,
-                "served with a body that no server produced for it".to_string(),
+                "the body of the response is not the one that a server produced for the request".to_string(),
             ),
             Outcome::Answered { status: 429 | 503, .. } => self.check_rejection(id, request),
             Outcome::Answered { status: 200 | 502 | 504, .. } | Outcome::Disconnected => None,
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Checks that a rejected request may be retried safely.
+    /// Checks that the client can safely retry a rejected request.
     fn check_rejection(&self, id: RequestId, request: &ClientRequest) -> Option<Violation> {
         let may_have_run = self.attempts_of(id).iter().any(|attempt| !attempt.is_unprocessed);
         let is_retry_safe = match self.deployment.classes[request.class].idempotency {
--- a/soak/src/invariants/slow_start.rs
+++ b/soak/src/invariants/slow_start.rs
@@ -1,4 +1,4 @@
-//! The load of all limiters together on a server during its slow start.
+//! Checks that all limiters together do not overload a server during its slow start.
 
 use std::collections::{HashMap, HashSet};
 use std::time::{Duration, Instant};
@@ -6,10 +6,10 @@
 use super::{FinishedRun, Invariant, Timing, Violation};
 use crate::record::Attempt;
 
-/// Time over which the throughput of warm servers is reported beside a violation.
+/// Period before a violation over which the throughput of warm servers is reported.
 const THROUGHPUT_PERIOD: Duration = Duration::from_secs(5);
 
-/// A window of time at one server.
+/// A time window in which the requests to one server are counted.
 struct OverloadWindow {
     server: usize,
     from: Instant,
@@ -47,7 +47,7 @@
     ) -> Option<Violation> {
         for (index, from) in arrivals.iter().enumerate() {
             let age = from.saturating_duration_since(started_at);
-            // A window that extends beyond the slow start shows nothing about a cold server.
+            // A window that extends beyond the end of slow start also covers a warm server.
             if age + self.deployment.overload_time > self.deployment.slow_start {
                 return None;
             }
@@ -73,14 +73,15 @@
         let throughput = self.warm_throughput_per_s(window.from);
         let capacity = self.deployment.capacity_per_s;
         let description = format!(
-            "{name} received {count} requests from the age of {age:?} on, the budget is {budget:.1}; warm servers \
-             received {throughput:.1}/s in the {THROUGHPUT_PERIOD:?} before, and have a capacity of {capacity:.1}/s"
+            "{name} received {count} requests from the age of {age:?} on, over a budget of {budget:.1}; warm \
+             servers received {throughput:.1}/s in the {THROUGHPUT_PERIOD:?} before, and have a capacity of \
+             {capacity:.1}/s"
         );
         Violation::for_fleet(Invariant::SlowStart, Timing::Measured, description)
     }
 
-    /// Returns whether limiters that counted as notified of the server's start sent more than two thirds of
-    /// the requests in a window.
+    /// Returns whether more than two thirds of the requests in a window came from limiters that are
+    /// considered notified of the server's start.
     fn is_mostly_from_notified_limiters(&self, window: &OverloadWindow, started_at: Instant) -> bool {
         let mut num_requests = 0;
         let mut num_by_notified = 0;
@@ -95,8 +96,8 @@
         num_by_notified * 3 > num_requests * 2
     }
 
-    /// Returns the mean requests per second of those warm servers that received any in the time before
-    /// `moment`.
+    /// Returns the mean request rate, in the period before `moment`, of the warm servers that received
+    /// requests in that period.
     fn warm_throughput_per_s(&self, moment: Instant) -> f64 {
         let mut num_requests = 0;
         let mut servers = HashSet::new();
--- a/soak/src/record.rs
+++ b/soak/src/record.rs
@@ -1,17 +1,17 @@
-//! What clients, servers and the harness observed during a run: the input of the invariant checks.
+//! Observations of clients, servers and the harness during a run: the input of the invariant checks.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-/// Identifies a request of a client.
+/// Number that identifies a client's request.
 pub type RequestId = u64;
 
-/// How late the harness itself may read or write, because its tasks share the machine with the limiters.
-/// Every check of a measured time allows for this.
+/// Longest tolerated delay of the harness's own reads and writes, because its tasks share the machine with
+/// the limiters. Every check of a measured time allows for this delay.
 pub const MAX_HARNESS_DELAY: Duration = Duration::from_millis(40);
 
-/// How a request ended for its client.
+/// Outcome of a request for its client.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Outcome {
     /// The client received a complete response.
@@ -23,7 +23,7 @@
     },
     /// The limiter closed the connection without a complete response.
     Closed,
-    /// No response arrived until well after the client's timeout.
+    /// No response had arrived when the client's timeout and the grace period after it had passed.
     TimedOut,
     /// The client disconnected before the response.
     Disconnected,
@@ -50,13 +50,13 @@
     pub timeout: Duration,
     /// Whether the connection had carried requests before.
     pub is_on_reused_connection: bool,
-    /// How the request ended, once it has.
+    /// The outcome, once the request has ended.
     pub outcome: Option<Outcome>,
     /// When the request ended; for a client that disconnected, when it closed the connection.
     pub ended_at: Option<Instant>,
 }
 
-/// An attempt as its server saw it.
+/// An attempt as observed by its server.
 #[derive(Debug, Clone)]
 pub struct Attempt {
     /// The request that was forwarded.
@@ -67,7 +67,7 @@
     pub first_byte_at: Instant,
     /// When the last byte arrived.
     pub last_byte_at: Instant,
-    /// The time left that the limiter propagated to the server, in seconds; `None` if the request had none.
+    /// The remaining time that the limiter propagated to the server, in seconds, if the attempt carried one.
     pub propagated_deadline_s: Option<f64>,
     /// When the response was written, or when the connection ended.
     pub ended_at: Option<Instant>,
@@ -88,11 +88,11 @@
     pub killed_at: Option<Instant>,
     /// When the process ended.
     pub ended_at: Option<Instant>,
-    /// The exit code; none if a signal ended the process.
+    /// The exit code; `None` if the process is running or was ended by a signal.
     pub exit_code: Option<i32>,
 }
 
-/// A server and its announcements.
+/// A server and the times of its announcements.
 #[derive(Debug, Clone)]
 pub struct ServerRecord {
     /// The server id in endpoint lists.
@@ -101,13 +101,13 @@
     pub zone: usize,
     /// The cell.
     pub cell: u32,
-    /// When the server started, if it started during the run.
+    /// When the server started, if it started during the run and so with a slow start.
     pub started_at: Option<Instant>,
     /// When discovery first listed the server as draining or removed.
     pub withdrawn_at: Option<Instant>,
 }
 
-/// Identifies a notification about a server to one incarnation of a limiter.
+/// Key of a notification to one incarnation of a limiter about one server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct NotificationKey {
     /// The limiter.
@@ -118,19 +118,19 @@
     pub server: usize,
 }
 
-/// A time in which the task of a stand-in server did not run. What the server read late during that time is
-/// not the limiter's fault.
+/// A period during which the task of a simulated server did not run. The limiter is not at fault for requests
+/// that the server read late because of the stall.
 #[derive(Debug, Clone, Copy)]
 pub struct ServerStall {
     /// The number of the server.
     pub server: usize,
-    /// The last iteration before the stall.
+    /// When the last iteration of the accept loop before the stall ended.
     pub from: Instant,
-    /// The first iteration after the stall.
+    /// When the first iteration of the accept loop after the stall ended.
     pub to: Instant,
 }
 
-/// A time in which discovery was unreachable for all limiters.
+/// A period during which discovery was unavailable to all limiters.
 #[derive(Debug, Clone, Copy)]
 pub struct Outage {
     /// The beginning.
@@ -139,16 +139,16 @@
     pub to: Instant,
 }
 
-/// Something that the harness did to the fleet, for the timeline of a report.
+/// A fault or another event that the harness caused, for the timeline of a report.
 #[derive(Debug, Clone)]
 pub struct FaultEvent {
-    /// When it happened.
+    /// The time of the event.
     pub at: Instant,
-    /// What was done.
+    /// Description of the event.
     pub text: String,
 }
 
-/// What happened in a run.
+/// Observations of a run.
 #[derive(Debug, Default)]
 pub struct Record {
     /// Requests of clients.
@@ -159,21 +159,21 @@
     pub incarnations: HashMap<usize, Vec<Incarnation>>,
     /// Servers by number.
     pub servers: Vec<ServerRecord>,
-    /// When discovery wrote to a limiter that a server is draining or removed.
+    /// When discovery first wrote to a limiter that a server is draining or removed.
     pub withdrawal_notifications: HashMap<NotificationKey, Instant>,
-    /// When discovery wrote to a limiter that a server is serving.
+    /// When discovery first wrote to a limiter that a server is serving.
     pub start_notifications: HashMap<NotificationKey, Instant>,
     /// Outages of discovery.
     pub outages: Vec<Outage>,
-    /// Stalls of stand-in servers.
+    /// Stalls of simulated servers.
     pub server_stalls: Vec<ServerStall>,
     /// Faults of limiter processes: crashes, failed starts, exceeded limits.
     pub process_faults: Vec<String>,
-    /// What the harness did to the fleet.
+    /// Faults and other events that the harness caused.
     pub events: Vec<FaultEvent>,
 }
 
-/// A record that all tasks of a run write to.
+/// A record to which all tasks of a run write.
 #[derive(Debug, Default)]
 pub struct SharedRecord(Mutex<Record>);
 
@@ -183,7 +183,7 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Records something that is done to the fleet now.
+    /// Records an event that the harness causes now.
     pub fn record_event(&self, text: impl Into<String>) {
         self.lock().events.push(FaultEvent { at: Instant::now(), text: text.into() });
     }
