--- a/soak/src/clients/connections.rs
+++ b/soak/src/clients/connections.rs
@@ -1,4 +1,4 @@
-//! The connections of clients: new ones, and a pool of idle ones for each limiter.
+//! Connections of clients: new ones, and a pool of idle ones for each limiter.
 
 use std::sync::PoisonError;
 use std::time::Duration;
@@ -9,9 +9,9 @@
 use super::Clients;
 use crate::http::Connection;
 
-/// Clients open connections to a limiter for this long after SIGTERM.
+/// Time after SIGTERM during which clients still open connections to a limiter.
 const CONNECT_TIME_AFTER_SIGTERM: Duration = Duration::from_millis(300);
-/// Timeout of a connect.
+/// Timeout for establishing a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// An idle connection to a limiter.
@@ -23,7 +23,7 @@
 }
 
 impl Clients {
-    /// Takes the connection that became idle last.
+    /// Takes the idle connection to a limiter that was returned to the pool last.
     pub(super) fn take_idle_connection(&self, limiter: usize) -> Option<PooledConnection> {
         self.pools[limiter].lock().unwrap_or_else(PoisonError::into_inner).pop()
     }
@@ -33,7 +33,7 @@
         self.pools[limiter].lock().unwrap_or_else(PoisonError::into_inner).push(pooled);
     }
 
-    /// Opens a connection, if the limiter accepts clients or has received SIGTERM only just.
+    /// Opens a connection, if the limiter accepts clients or has only just received SIGTERM.
     pub(super) async fn connect(&self, limiter: usize) -> Option<Connection> {
         let limiter = &self.limiters[limiter];
         let is_terminating =
--- a/soak/src/clients/exchange.rs
+++ b/soak/src/clients/exchange.rs
@@ -1,4 +1,4 @@
-//! One request and its response on a connection.
+//! The exchange of a request and its response on a connection.
 
 use std::io;
 use std::sync::atomic::Ordering;
@@ -15,19 +15,19 @@
 use crate::http::{Connection, MessageKind, ReadError};
 use crate::record::{ClientRequest, Outcome};
 
-/// Fraction of the requests that are written in two parts with a pause.
+/// Fraction of the requests that are written in two parts with a pause between them.
 const SLOW_WRITE_FRACTION: f64 = 0.03;
 
-/// Whether a limiter has read a request.
+/// Whether a request reached the limiter.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Delivery {
-    /// The request was read, or may have been read: its outcome is recorded.
+    /// The limiter read the request or may have read it. The client does not send the request again.
     Delivered,
-    /// The request was not read. It may be sent again.
+    /// The limiter did not read the request. The client may send the request again.
     NotDelivered,
 }
 
-/// The connection of an exchange.
+/// A connection to a limiter, taken from the pool or newly opened.
 pub struct LimiterConnection {
     /// The connection.
     pub connection: Connection,
@@ -40,8 +40,8 @@
 }
 
 impl Clients {
-    /// Sends a request to a limiter, on an idle connection if there is one. A request that is not read before
-    /// its reused connection ends is sent once more on a new connection.
+    /// Sends a request to a limiter, on an idle connection if there is one. If a reused connection ends
+    /// before the limiter reads the request, sends it once more on a new connection.
     pub(super) async fn send(&self, request: &RequestSpec, limiter: usize, rng: &mut SmallRng) -> Delivery {
         if let Some(PooledConnection { connection, incarnation }) = self.take_idle_connection(limiter) {
             let limiter_connection = LimiterConnection { connection, limiter, incarnation, is_reused: true };
@@ -66,7 +66,8 @@
         let text = request.to_http(&self.deployment);
         let is_slow = rng.random_bool(SLOW_WRITE_FRACTION);
         if write(&mut limiter_connection.connection, &text, is_slow, rng).await.is_err() {
-            // Nothing shows that the limiter has read the complete request.
+            // The limiter has not received the complete request, so there is no outcome to record. The
+            // request is sent again only after a failure on a reused connection.
             return if limiter_connection.is_reused { Delivery::NotDelivered } else { Delivery::Delivered };
         }
         self.record_request(request, &limiter_connection, Instant::now());
@@ -127,7 +128,7 @@
     }
 }
 
-/// Writes a text, in two parts with a pause if `is_slow`.
+/// Writes a text, in two parts with a pause between them if `is_slow`.
 async fn write(connection: &mut Connection, text: &str, is_slow: bool, rng: &mut SmallRng) -> io::Result<()> {
     let bytes = text.as_bytes();
     if !is_slow {
--- a/soak/src/clients/misbehaving.rs
+++ b/soak/src/clients/misbehaving.rs
@@ -1,4 +1,4 @@
-//! Clients that hold connections without completing a request.
+//! Clients that hold connections open without completing a request.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -8,13 +8,13 @@
 
 use super::Clients;
 
-/// A limiter has to close the connection of a stalled client, or to answer with an error, within this time.
+/// Time within which a limiter has to close the connection of a stalled client.
 const STALLED_CLIENT_TIMEOUT: Duration = Duration::from_millis(3300);
 /// The beginning of a request that is never completed.
 const INCOMPLETE_REQUEST: &[u8] = b"POST /once/0000000000000001 HTTP/1.1\r\nHost: x\r\nX-Ta";
 
-/// Opens connections that send a part of a request and stay open, and records a fault for each that the
-/// limiter does not close in time.
+/// Opens connections that send a part of a request and stay open. Records a process fault for each connection
+/// that the limiter does not close in time.
 pub fn open_stalled_connections(clients: &Arc<Clients>, limiter: usize, count: usize) {
     for _ in 0..count {
         tokio::spawn(open_stalled_connection(clients.clone(), limiter));
@@ -33,7 +33,7 @@
     }
 }
 
-/// Opens connections that send nothing, and closes them after the given time.
+/// Opens connections that send nothing, and closes them after the given duration.
 pub async fn hold_idle_connections(clients: &Clients, limiter: usize, count: usize, duration: Duration) {
     let mut connections = Vec::new();
     for _ in 0..count {
--- a/soak/src/clients/mod.rs
+++ b/soak/src/clients/mod.rs
@@ -1,4 +1,5 @@
-//! Clients: most behave, some disconnect early, write slowly, pipeline requests, stall or stay idle.
+//! Simulated clients: most behave normally, some disconnect early, write slowly, pipeline requests, stall or
+//! stay idle.
 
 mod connections;
 mod exchange;
@@ -21,16 +22,16 @@
 use exchange::Delivery;
 use request::RequestSpec;
 
-/// A response that arrives this long after the client's timeout has no value but counts as given; a later one
-/// counts as missing.
+/// Time after the client's timeout during which a response is useless to the client but no violation. A later
+/// response is recorded as missing.
 pub const RESPONSE_GRACE: Duration = Duration::from_millis(500);
-/// Of a thousand clients, how many usually disconnect before their response.
+/// Usual per mille of the clients that disconnect before their response.
 pub const DISCONNECTING_PER_MILLE: u64 = 50;
-/// Fraction of the clients that pipeline several requests.
+/// Fraction of the clients that pipeline requests.
 const PIPELINING_FRACTION: f64 = 0.03;
-/// Limiters that a client tries one after the other.
+/// Maximum number of attempts to deliver a request, each to a random member of the customer's quota.
 const MAX_CONNECT_ATTEMPTS: usize = 3;
-/// Pause between two of these.
+/// Delay after a failed delivery.
 const CONNECT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// All clients of a run.
@@ -38,10 +39,10 @@
     deployment: Deployment,
     limiters: Vec<Arc<LimiterProcess>>,
     record: Arc<SharedRecord>,
-    /// Idle connections to each limiter.
+    /// A pool of idle connections to each limiter.
     pools: Vec<Mutex<Vec<PooledConnection>>>,
     next_request_id: AtomicU64,
-    /// Of a thousand clients, how many disconnect before their response.
+    /// Per mille of the clients that disconnect before their response.
     disconnecting_per_mille: AtomicU64,
     /// Multiple of the deployment's request rate.
     rate_factor: AtomicU64,
@@ -66,18 +67,18 @@
         })
     }
 
-    /// Changes how many of a thousand clients disconnect before their response.
+    /// Sets the per mille of the clients that disconnect before their response.
     pub fn set_disconnecting_per_mille(&self, per_mille: u64) {
         self.disconnecting_per_mille.store(per_mille, Ordering::SeqCst);
     }
 
-    /// Changes the multiple of the deployment's rate at which requests are sent.
+    /// Sets the multiple of the deployment's request rate at which clients send requests.
     pub fn set_rate_factor(&self, factor: u64) {
         self.rate_factor.store(factor, Ordering::SeqCst);
     }
 
-    /// Sends requests at random times at the deployment's rate until the given time. Does not wait for
-    /// responses.
+    /// Sends requests until the given time, with random gaps between them, at the current request rate. Does
+    /// not wait for responses.
     pub async fn run(self: Arc<Self>, seed: u64, until: Instant) {
         let mut rng = SmallRng::seed_from_u64(seed);
         let mut due = Instant::now();
@@ -90,7 +91,8 @@
         }
     }
 
-    /// Sends one request, or several pipelined ones, to members of the customer's quota.
+    /// Sends one request to random members of the customer's quota until it is delivered, or several
+    /// pipelined requests to one limiter.
     async fn run_client(self: Arc<Self>, mut rng: SmallRng) {
         let request = self.draw_request(&mut rng);
         if rng.random_bool(PIPELINING_FRACTION) {
@@ -107,12 +109,12 @@
         }
     }
 
-    /// Returns whether any server has received a request.
+    /// Returns whether any server has received the request.
     fn was_forwarded(&self, id: RequestId) -> bool {
         self.record.lock().attempts.iter().rev().any(|attempt| attempt.request == id)
     }
 
-    /// Forgets a request that the limiter did not read.
+    /// Removes a request from the record, because the limiter did not read the request.
     fn remove_request(&self, id: RequestId) {
         self.record.lock().requests.remove(&id);
     }
@@ -124,7 +126,7 @@
         }
     }
 
-    /// Creates a request as [`RequestSpec`] describes it.
+    /// Draws a request with a new id.
     fn draw_request(&self, rng: &mut SmallRng) -> RequestSpec {
         let id = self.next_request_id.fetch_add(1, Ordering::SeqCst);
         RequestSpec::draw(id, &self.deployment, self.limiters.len(), rng)
--- a/soak/src/clients/pipeline.rs
+++ b/soak/src/clients/pipeline.rs
@@ -1,4 +1,4 @@
-//! Pipelined requests: several are written at once, and their responses arrive in the same order.
+//! Pipelined requests: a client writes several at once, and their responses arrive in the same order.
 
 use std::time::Instant;
 
@@ -12,8 +12,9 @@
 use crate::record::Outcome;
 
 impl Clients {
-    /// Writes several requests at once on a new connection and reads their responses in order. Requests that
-    /// the limiter had not read when it closed the connection are forgotten.
+    /// Writes several requests at once on a new connection to the first member of the first request's quota,
+    /// and reads their responses in order. Requests after the first that were not forwarded when the limiter
+    /// closed the connection are removed from the record.
     pub(super) async fn send_pipelined(&self, requests: &[RequestSpec]) {
         let limiter = requests[0].first_member;
         let Some(connection) = self.connect(limiter).await else { return };
@@ -41,8 +42,8 @@
         is_first: bool,
     ) {
         let time_left = (request.timeout + RESPONSE_GRACE).saturating_sub(written_at.elapsed());
-        // Responses arrive in the order of the requests: a later one cannot arrive before the one ahead of
-        // it, whatever its own timeout is.
+        // Responses arrive in the order of the requests: the response to a later request cannot arrive before
+        // the one ahead of it, regardless of the later request's own timeout.
         let max_wait = if is_first { time_left } else { time_left.max(RESPONSE_GRACE) };
         match timeout(max_wait, limiter_connection.connection.read(MessageKind::Response)).await {
             Ok(Ok(response)) => self.record_outcome(request.id, request.outcome(&response)),
--- a/soak/src/clients/request.rs
+++ b/soak/src/clients/request.rs
@@ -9,26 +9,26 @@
 use crate::http::Message;
 use crate::record::{Outcome, RequestId};
 
-/// Customers on each plan.
+/// Number of customers on each plan.
 const CUSTOMERS_PER_PLAN: u64 = 12;
 /// Distance between the customer ids of two plans.
 const CUSTOMER_ID_STEP: u64 = 100;
-/// Limiters that receive the requests of one customer.
+/// Maximum number of limiters that receive the requests of one customer.
 const MAX_MEMBERS: usize = 4;
 /// Fraction of the requests with a very short timeout.
 const SHORT_TIMEOUT_FRACTION: f64 = 0.01;
 /// Body of a request that is not idempotent.
 const BODY: &str = "order";
 
-/// What a client asks for.
+/// A client's request, as drawn before it is sent.
 pub struct RequestSpec {
-    /// Identifies the request.
+    /// The request id.
     pub id: RequestId,
     /// Index of the request class.
     pub class: usize,
     /// Index of the plan.
     pub plan: usize,
-    /// The customer.
+    /// The customer id.
     pub customer: u64,
     /// Estimated cost in quota units.
     pub units: u32,
@@ -97,7 +97,7 @@
         )
     }
 
-    /// Returns the outcome of the request after a complete response.
+    /// Returns the outcome of the request for a complete response.
     pub fn outcome(&self, response: &Message) -> Outcome {
         let expected_prefix = format!("r-{}:", self.id);
         let has_expected_body =
--- a/soak/src/discovery/list.rs
+++ b/soak/src/discovery/list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list: servers with their states and versions, in the JSON form of the protocol.
+//! The endpoint list: servers with their states and versions, and their JSON form in the discovery protocol.
 
 use std::net::SocketAddr;
 use std::time::{SystemTime, UNIX_EPOCH};
@@ -10,9 +10,9 @@
 /// The announced state of a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EndpointState {
-    /// The server takes requests.
+    /// The server accepts requests.
     Serving,
-    /// The server completes its requests and takes no new ones.
+    /// The server completes the requests in flight and accepts no new ones.
     Draining,
     /// The server has been removed.
     Removed,
@@ -25,7 +25,7 @@
     pub number: usize,
     /// The server id.
     pub name: String,
-    /// The address that the server listens on.
+    /// The address on which the server listens.
     pub address: SocketAddr,
     /// Index of the zone.
     pub zone: usize,
@@ -33,15 +33,15 @@
     pub cell: u32,
     /// The announced state.
     pub state: EndpointState,
-    /// The last start in Unix milliseconds; 0 if the server has been running for long.
+    /// The last start in milliseconds of Unix time; 0 if the server started long before the run.
     pub started_ms: f64,
-    /// The version of the list in which the server last changed.
+    /// The version of the list at which the server last changed.
     version: u64,
 }
 
-/// A list or a change, as discovery writes it to a watch.
+/// An event that discovery writes to a watch: the complete list or its changes.
 pub struct WatchEvent {
-    /// The JSON form.
+    /// The event in its JSON form.
     pub object: Value,
     /// Numbers of the servers that are announced as draining or removed.
     pub withdrawn: Vec<usize>,
@@ -78,7 +78,7 @@
         json!({"version": self.version, "full": true, "servers": servers})
     }
 
-    /// Returns the servers that changed after a version, or the complete list if no version is given.
+    /// Returns the event with all changes after a version, or with the complete list if no version is given.
     pub fn watch_event(&self, after: Option<u64>) -> WatchEvent {
         let mut changed = Vec::new();
         let mut withdrawn = Vec::new();
@@ -102,7 +102,8 @@
 }
 
 impl ListedServer {
-    /// Creates the entry of a serving server that has been running for long or, if `starts_now`, starts now.
+    /// Creates the entry of a serving server. The server starts now if `starts_now`, and otherwise started
+    /// long before the run.
     pub fn serving(
         number: usize,
         name: String,
--- a/soak/src/discovery/mod.rs
+++ b/soak/src/discovery/mod.rs
@@ -1,4 +1,4 @@
-//! A stand-in for discovery: one endpoint list, served to each limiter through two agents.
+//! The simulated discovery service, which serves one endpoint list to each limiter through two agents.
 
 mod list;
 mod watch;
@@ -18,26 +18,26 @@
 use crate::record::SharedRecord;
 use list::EndpointList;
 
-/// Whether discovery answers.
+/// Availability of discovery.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Availability {
-    /// Discovery answers requests and writes changes to open watches.
+    /// Discovery responds to requests and writes changes to open watches.
     Available,
     /// Discovery closes open connections and new ones.
     Refusing,
-    /// Discovery accepts requests and writes nothing, to open watches neither.
+    /// Discovery accepts requests but writes nothing, neither responses nor changes to open watches.
     Silent,
 }
 
-/// The discovery service.
+/// The simulated discovery service.
 pub struct Discovery {
     list: Mutex<EndpointList>,
-    /// The version of the list, for the tasks that wait for a change.
+    /// The version of the list, which wakes the tasks that wait for a change.
     version: watch_channel::Sender<u64>,
     availability: watch_channel::Sender<Availability>,
-    /// Incremented to reset all watches.
+    /// Number of resets so far. An increment resets all watches.
     resets: watch_channel::Sender<u64>,
-    /// Whether each watch begins with the complete list, whatever version was requested.
+    /// Whether each watch begins with the complete list, regardless of the requested version.
     always_complete: AtomicBool,
     /// Delay of everything that discovery writes, in milliseconds.
     delay_ms: AtomicU64,
@@ -60,7 +60,7 @@
         })
     }
 
-    /// Listens on the address of one of a limiter's agents.
+    /// Starts listening on the address of one of a limiter's discovery agents.
     ///
     /// # Errors
     /// The address is not available.
@@ -89,17 +89,17 @@
         self.announce(server.with_state(state));
     }
 
-    /// Changes whether discovery answers.
+    /// Sets the availability of discovery.
     pub fn set_availability(&self, availability: Availability) {
         self.availability.send_replace(availability);
     }
 
-    /// Makes each watch begin with the complete list, whatever version was requested.
+    /// Sets whether each watch begins with the complete list, regardless of the requested version.
     pub fn set_always_complete(&self, always: bool) {
         self.always_complete.store(always, Ordering::SeqCst);
     }
 
-    /// Delays everything that discovery writes from now on.
+    /// Sets the delay of everything that discovery writes from now on.
     pub fn set_delay(&self, delay: Duration) {
         self.delay_ms.store(delay.as_millis() as u64, Ordering::SeqCst);
     }
--- a/soak/src/discovery/watch.rs
+++ b/soak/src/discovery/watch.rs
@@ -1,4 +1,4 @@
-//! How discovery serves one watch: the answer to the request, the changes, keep-alives, and faults.
+//! Service of one watch: the response to the request, the changes, keep-alives, and the faults of discovery.
 
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
@@ -23,10 +23,10 @@
 const KEEP_ALIVE: &[u8] = b"1\r\n\n\r\n";
 /// Timeout of the request that opens a watch.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
-/// The head of each response.
+/// Head of every response.
 const RESPONSE_HEAD: &[u8] = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-/// The other side of a connection closed it, or a write failed.
+/// Error: the limiter closed the connection, or a write failed.
 struct ConnectionClosed;
 
 /// The limiter that opened a watch.
@@ -37,7 +37,8 @@
 }
 
 impl Discovery {
-    /// Serves a connection of a limiter's agent: one request, and a watch until its end.
+    /// Serves a connection to one of a limiter's agents: reads one request, and serves the watch that the
+    /// request opens until the watch ends.
     pub(super) async fn serve(self: Arc<Self>, limiter: usize, mut connection: Connection) {
         net::enable_reset_on_close(&connection.stream);
         let Ok(Ok(request)) = timeout(REQUEST_TIMEOUT, connection.read(MessageKind::Request)).await else {
@@ -54,7 +55,7 @@
             return;
         }
         if connection.stream.write_all(RESPONSE_HEAD).await.is_ok() {
-            // The watch ends with its connection.
+            // The watch ends in either case, and its connection is dropped.
             let _ = self.watch(watcher, after, connection).await;
         }
     }
@@ -102,7 +103,7 @@
         }
     }
 
-    /// Waits for the present delay of discovery.
+    /// Waits for the current delay of discovery.
     async fn delay(&self, connection: &mut Connection) -> Result<(), ConnectionClosed> {
         let delay = Duration::from_millis(self.delay_ms.load(Ordering::SeqCst));
         if !delay.is_zero() && timeout(delay, connection.closed_by_peer()).await.is_ok() {
@@ -124,7 +125,8 @@
     }
 }
 
-/// Waits while discovery is silent. Returns whether discovery refuses connections after that.
+/// Waits until discovery is no longer silent. Returns whether discovery refuses connections after the
+/// silence.
 async fn refuses_after_silence(availability: &mut Receiver<Availability>) -> bool {
     let current = availability.wait_for(|availability| *availability != Availability::Silent).await;
     current.is_ok_and(|availability| *availability == Availability::Refusing)
@@ -134,7 +136,7 @@
     connection.stream.write_all(bytes).await.map_err(|_| ConnectionClosed)
 }
 
-/// Writes an object in one chunk or two, on one line or indented.
+/// Writes a JSON object in one or two chunks, on one line or indented.
 async fn write_object(
     connection: &mut Connection,
     object: &Value,
--- a/soak/src/faults/gossip.rs
+++ b/soak/src/faults/gossip.rs
@@ -1,4 +1,4 @@
-//! Faults of the network between limiters.
+//! Faults of the gossip network between limiters.
 
 use rand::rngs::SmallRng;
 use tokio::time::sleep;
--- a/soak/src/faults/limiters.rs
+++ b/soak/src/faults/limiters.rs
@@ -1,4 +1,4 @@
-//! Faults of limiter processes: restarts, stalls, and new configurations.
+//! Faults of limiter processes: restarts, stalls, and configuration reloads.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,24 +15,24 @@
 
 /// Shortest stall of a limiter in milliseconds.
 const MIN_STALL_MS: u64 = 30;
-/// Stalls of a limiter are shorter than this, in milliseconds: a limiter tolerates 150 ms.
+/// Exclusive upper bound on a limiter's stalls in milliseconds. Limiters have to tolerate stalls of 150 ms.
 const MAX_STALL_MS: u64 = 145;
 
-/// The signal by which a limiter is restarted.
+/// The signal that ends a limiter before its restart.
 #[derive(Debug, Clone, Copy)]
 pub enum RestartSignal {
     /// A graceful shutdown, followed by SIGKILL after the platform's grace period.
     Sigterm,
-    /// An end without notice.
+    /// A kill without notice.
     Sigkill,
 }
 
-/// Ends a limiter by a signal and starts it again after a moment.
+/// Ends a limiter with a signal and starts it again after a delay.
 pub async fn restart(harness: &Harness, limiter: usize, signal: RestartSignal, rng: &mut SmallRng) {
     if !harness.try_begin_restart(limiter) {
         return;
     }
-    // The limiter starts again with this list, which may be stale by then.
+    // The limiter restarts with this endpoint list, which may be stale by then.
     let configured_list = harness.discovery.complete_list();
     harness.record.record_event(format!("limiter {limiter}: {signal:?}"));
     match signal {
@@ -45,7 +45,7 @@
     harness.end_restart(limiter);
 }
 
-/// Stops all or some limiters for a moment.
+/// Suspends all or some limiter processes for a short time.
 pub async fn stall(harness: &Harness, rng: &mut SmallRng) {
     let limiters = choose_limiters(harness, 0.2, rng);
     let duration = random_ms(rng, MIN_STALL_MS, MAX_STALL_MS);
@@ -59,8 +59,8 @@
     }
 }
 
-/// Sends all or some limiters up to three new configurations in quick succession, each with another discovery
-/// address.
+/// Makes all or some limiters reload up to three configurations in quick succession. Each configuration names
+/// the limiter's other discovery agent.
 pub async fn reload_configurations(harness: &Harness, rng: &mut SmallRng) {
     let count = draw_limiter_count(harness, 0.3, rng);
     let num_reloads = rng.random_range(1..4);
@@ -74,7 +74,7 @@
     }
 }
 
-/// Chooses all limiters with the given probability, and one to three otherwise.
+/// Chooses all limiters with the given probability, and one to three of them otherwise.
 fn choose_limiters<'a>(
     harness: &'a Harness,
     probability_of_all: f64,
--- a/soak/src/faults/mod.rs
+++ b/soak/src/faults/mod.rs
@@ -1,4 +1,5 @@
-//! The faults that a run injects: which ones, how often, and for how long. A file for each family of faults.
+//! The faults that a run injects, with their frequencies and durations. Each submodule holds one family of
+//! faults.
 
 mod clients;
 mod discovery;
@@ -18,57 +19,57 @@
 use crate::server::Reachability;
 use limiters::RestartSignal;
 
-/// Mean time between the beginnings of two faults. Most faults last longer, so that two or three overlap.
+/// Mean time between the starts of consecutive faults. Most faults last longer, so that two or three overlap.
 const MEAN_FAULT_INTERVAL: Duration = Duration::from_millis(350);
-/// Longest time between the beginnings of two faults.
+/// Longest time between the starts of consecutive faults.
 const MAX_FAULT_INTERVAL: Duration = Duration::from_secs(2);
 
 /// A fault that the harness can inject.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
-    /// A limiter is restarted by SIGTERM.
+    /// A limiter is ended by SIGTERM and restarted.
     TerminateLimiter,
-    /// A limiter is restarted by SIGKILL.
+    /// A limiter is ended by SIGKILL and restarted.
     KillLimiter,
-    /// Some limiters get no processor time for a moment.
+    /// Some or all limiters get no processor time for a short while.
     StallLimiters,
-    /// Some limiters get new configurations, with SIGHUP.
+    /// Some or all limiters reload new configurations on SIGHUP.
     ReloadConfiguration,
-    /// Discovery is closed or silent.
+    /// Discovery refuses connections or is silent.
     DiscoveryOutage,
     /// All watches are reset.
     ResetWatches,
-    /// Some servers drain, and new ones start.
+    /// Some servers are drained, and new ones start.
     ReplaceServers,
-    /// A server crashes and starts again.
+    /// A server crashes and restarts.
     RestartServer,
     /// Some servers misbehave.
     FaultyServers,
-    /// Some servers accept connections late.
+    /// Some servers delay new connections.
     SlowAccepts,
     /// Some servers are partitioned from the limiters.
     PartitionServers,
-    /// Discovery answers late.
+    /// Discovery responds late.
     SlowDiscovery,
     /// A limiter is partitioned from its peers.
     PartitionGossip,
     /// Many clients disconnect before their response.
     DisconnectingClients,
-    /// Clients stop in the middle of a request.
+    /// Clients stall in the middle of a request.
     StallingClients,
     /// Clients connect and send nothing.
     IdleClients,
-    /// The rate of requests rises for a moment.
+    /// The request rate rises for a while.
     Burst,
 }
 
-/// A fault, and how often it is drawn in relation to the others.
+/// A fault and its probability relative to the other faults.
 struct WeightedFault {
     fault: Fault,
     weight: u32,
 }
 
-/// All faults. Their order and weights decide what a seed means.
+/// All faults. Their order and weights must not change: each seed has to reproduce the same faults.
 const FAULTS: [WeightedFault; 17] = [
     WeightedFault { fault: Fault::TerminateLimiter, weight: 10 },
     WeightedFault { fault: Fault::KillLimiter, weight: 5 },
@@ -89,19 +90,19 @@
     WeightedFault { fault: Fault::Burst, weight: 5 },
 ];
 
-/// A fault as it is drawn for a run.
+/// A fault that was drawn for a run.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct DrawnFault {
-    /// The time since the beginning of the previous fault.
+    /// The time between the start of the previous fault and the start of this one.
     pub delay: Duration,
     /// The fault.
     pub fault: Fault,
-    /// Seeds all further draws of the fault.
+    /// Seed of the fault's own parameters.
     pub seed: u64,
 }
 
 impl DrawnFault {
-    /// Draws a fault and the time before it.
+    /// Draws a fault and the delay before it.
     pub fn draw(rng: &mut StdRng) -> Option<DrawnFault> {
         let delay = draw_exponential(rng, MEAN_FAULT_INTERVAL).min(MAX_FAULT_INTERVAL);
         let weighted = FAULTS.choose_weighted(rng, |weighted| weighted.weight).ok()?;
@@ -109,12 +110,12 @@
     }
 }
 
-/// Draws a time from the exponential distribution with the given mean.
+/// Draws a duration from the exponential distribution with the given mean.
 fn draw_exponential(rng: &mut StdRng, mean: Duration) -> Duration {
     mean.mul_f64(-rng.random::<f64>().max(1e-9).ln())
 }
 
-/// Draws a time of at least `min` and less than `max` milliseconds.
+/// Draws a duration of at least `min` and less than `max` milliseconds.
 fn random_ms(rng: &mut SmallRng, min: u64, max: u64) -> Duration {
     Duration::from_millis(rng.random_range(min..max))
 }
@@ -129,7 +130,8 @@
     harness.wait_for_restarts().await;
 }
 
-/// Injects a fault, and ends it after its time.
+/// Injects a fault. Faults that last for a while end before the function returns, except stalled clients and
+/// the draining of replaced servers.
 async fn inject(harness: Arc<Harness>, drawn: DrawnFault) {
     let mut rng = SmallRng::seed_from_u64(drawn.seed);
     let limiter = rng.random_range(0..harness.limiters.len());
--- a/soak/src/faults/servers.rs
+++ b/soak/src/faults/servers.rs
@@ -1,4 +1,4 @@
-//! Faults of servers: replacement, restarts, misbehaviour, and connections that do not reach them.
+//! Faults of servers: replacement, restarts, misbehaviour, and limited reachability.
 
 use std::time::Duration;
 
@@ -12,17 +12,17 @@
 use crate::harness::{Harness, RunningServer, ServerIdentity};
 use crate::server::{Behaviour, Reachability};
 
-/// Time between the removal of a server from the list and the end of its process.
+/// Time between the removal of a server from the endpoint list and the end of its process.
 const STOP_DELAY: Duration = Duration::from_millis(500);
 /// Latency of a slow server.
 const SLOW_LATENCY: Duration = Duration::from_millis(700);
-/// Bound on the duration of a server's misbehaviour in milliseconds.
+/// Exclusive upper bound on the duration of most misbehaviour, in milliseconds.
 const MAX_MISBEHAVIOUR_MS: u64 = 3000;
-/// Bound on the time for which a server is unresponsive, in milliseconds. A server may be unresponsive
-/// through the whole of a shutdown.
+/// Exclusive upper bound on the time for which a server is unresponsive, in milliseconds. The bound is long
+/// enough for a server to be unresponsive during the entire graceful shutdown of a limiter.
 const MAX_UNRESPONSIVE_MS: u64 = 6000;
 
-/// Replaces some servers: each drains and is removed after a while, and a new one starts.
+/// Replaces some servers: each is drained and later removed, and a new server starts for it.
 pub async fn replace(harness: &Harness, rng: &mut SmallRng) {
     let max_count = (harness.deployment.servers / 3).max(1);
     let count = rng.random_range(1..=max_count);
@@ -45,7 +45,7 @@
     }
 }
 
-/// Crashes a server without notice, and starts it again under its name.
+/// Crashes a server without notice, and restarts it under the same name.
 pub async fn restart(harness: &Harness, rng: &mut SmallRng) {
     let Some(RunningServer { name, server }) = harness.take_server(rng) else { return };
     harness.record.record_event(format!("{name} (number {}) crashes", server.number));
@@ -59,11 +59,11 @@
         cell: record.cell,
     };
     if harness.restart_server(identity, rng.random()).is_ok() {
-        harness.record.record_event(format!("{name} starts again, cold"));
+        harness.record.record_event(format!("{name} restarts with a slow start"));
     }
 }
 
-/// Makes some servers misbehave in one way for a while.
+/// Makes some servers misbehave for a while, all of them in the same way.
 pub async fn misbehave(harness: &Harness, rng: &mut SmallRng) {
     let behaviours = [
         Behaviour::Unresponsive,
--- a/soak/src/gossip.rs
+++ b/soak/src/gossip.rs
@@ -1,4 +1,4 @@
-//! A stand-in for the network between limiters: delays gossip, loses some of it, and partitions limiters.
+//! The simulated network between limiters, which delays and drops gossip messages and partitions limiters.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -13,12 +13,12 @@
 use crate::deployment::Deployment;
 use crate::record::SharedRecord;
 
-/// Largest datagram that a limiter may send.
+/// Size limit of a limiter's datagrams in bytes.
 const MAX_DATAGRAM_BYTES: usize = 256;
 
-/// The network between the limiters.
+/// The simulated network between the limiters.
 pub struct GossipNetwork {
-    /// The sockets to which peers send gossip, one for each limiter.
+    /// Sockets that receive the gossip for each limiter, and send the gossip of that limiter to its peers.
     sockets: Vec<UdpSocket>,
     is_partitioned: Vec<AtomicBool>,
     deployment: Deployment,
@@ -27,7 +27,7 @@
 }
 
 impl GossipNetwork {
-    /// Starts to forward gossip.
+    /// Starts the network: binds all sockets and forwards gossip.
     ///
     /// # Errors
     /// An address is not available.
@@ -61,7 +61,7 @@
         self.is_partitioned[limiter].load(Ordering::SeqCst)
     }
 
-    /// Forwards all gossip for one limiter, forever.
+    /// Forwards the gossip for one limiter until the runtime shuts down.
     async fn forward_to(self: Arc<Self>, receiver: usize, mut rng: SmallRng) {
         let num_limiters = self.sockets.len();
         let senders: Vec<SocketAddr> =
@@ -88,7 +88,7 @@
 
     fn check_length(&self, sender: usize, length: usize) {
         if length > MAX_DATAGRAM_BYTES {
-            let fault = format!("limiter {sender}: sent a gossip message of {length} bytes or more");
+            let fault = format!("limiter {sender}: sent a gossip message of at least {length} bytes");
             self.record.lock().process_faults.push(fault);
         }
     }
--- a/soak/src/http.rs
+++ b/soak/src/http.rs
@@ -5,12 +5,12 @@
 use tokio::io::AsyncReadExt;
 use tokio::net::TcpStream;
 
-/// Longest head of a message in bytes.
+/// Maximum length of a message's head in bytes.
 const MAX_HEAD_BYTES: usize = 16 << 10;
-/// Most headers of a message.
+/// Maximum number of headers in a message.
 const MAX_HEADERS: usize = 32;
 
-/// A message that was read completely.
+/// A complete HTTP message.
 #[derive(Debug, Default)]
 pub struct Message {
     /// The path of a request.
@@ -31,7 +31,7 @@
     }
 }
 
-/// Why no complete message was read.
+/// The reason why no complete message could be read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReadError {
     /// The connection ended before the first byte of a message.
@@ -51,7 +51,7 @@
     Response,
 }
 
-/// A connection, with the bytes that were read beyond the last message.
+/// A connection with a buffer for the bytes that were read beyond the last message.
 pub struct Connection {
     /// The socket.
     pub stream: TcpStream,
@@ -65,10 +65,10 @@
         Connection { stream, buffer: Vec::new() }
     }
 
-    /// Reads the next message. Cancelling loses no bytes: what was read stays in the buffer.
+    /// Reads the next message. Cancellation loses no bytes: those that were read stay in the buffer.
     ///
     /// # Errors
-    /// The connection ends first, or its bytes are not a message.
+    /// The connection ended before a complete message arrived, or its bytes are not a valid message.
     pub async fn read(&mut self, kind: MessageKind) -> Result<Message, ReadError> {
         let mut first_byte_at = (!self.buffer.is_empty()).then(Instant::now);
         loop {
@@ -92,7 +92,7 @@
         }
     }
 
-    /// Reads more bytes into the buffer. Cancelling loses no bytes.
+    /// Reads more bytes into the buffer. Cancellation loses no bytes.
     ///
     /// # Errors
     /// `end_error` if the connection has ended.
@@ -103,14 +103,14 @@
         }
     }
 
-    /// Waits until the peer closes the connection. Bytes that arrive until then are stored for the next read.
-    /// Cancelling loses no bytes.
+    /// Waits until the remote side closes the connection. Bytes that arrive meanwhile are buffered for the
+    /// next read. Cancellation loses no bytes.
     pub async fn closed_by_peer(&mut self) {
         while self.fill_buffer(ReadError::Ended).await.is_ok() {}
     }
 }
 
-/// The head of a message, without a body so far.
+/// A parsed head, in a message that has no body yet.
 struct ParsedHead {
     message: Message,
     /// Length of the head in bytes.
--- a/soak/src/net.rs
+++ b/soak/src/net.rs
@@ -1,4 +1,4 @@
-//! Socket options and listeners of the stand-ins.
+//! Socket options and listeners of the simulated components.
 
 use std::io;
 use std::net::SocketAddr;
@@ -7,10 +7,10 @@
 use socket2::{Domain, Protocol, SockRef, Socket, Type};
 use tokio::net::{TcpListener, TcpStream};
 
-/// Length of the accept queue.
+/// Length of the accept queue in connections.
 pub const ACCEPT_QUEUE_LENGTH: i32 = 1024;
 
-/// Listens on an address, also immediately after another listener on that address was closed.
+/// Listens on an address, even immediately after another listener on that address was closed.
 ///
 /// # Errors
 /// The address is not available.
@@ -23,12 +23,12 @@
     TcpListener::from_std(socket.into())
 }
 
-/// Makes the close of a connection a reset.
+/// Makes closing a connection reset it.
 pub fn enable_reset_on_close(stream: &TcpStream) {
     let _ = SockRef::from(stream).set_linger(Some(Duration::ZERO));
 }
 
-/// Makes the close of a connection graceful again.
+/// Makes closing a connection graceful again.
 pub fn disable_reset_on_close(stream: &TcpStream) {
     let _ = SockRef::from(stream).set_linger(None);
 }
--- a/soak/src/server/accept.rs
+++ b/soak/src/server/accept.rs
@@ -1,4 +1,4 @@
-//! The accept loop of a server, and the limits on the reachability of its connections.
+//! The accept loop of a server, which also limits the reachability of the server.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -12,15 +12,15 @@
 use crate::net;
 use crate::record::{ServerStall, MAX_HARNESS_DELAY};
 
-/// The accept loop runs at least this often, so that a stall of the harness can be recognized.
+/// Longest wait in one iteration of the accept loop. A later iteration shows that the harness stalled.
 const MAX_ACCEPT_WAIT: Duration = Duration::from_millis(20);
-/// Timeout of the connection that fills the accept queue. If it is not established by then, another
-/// connection already fills the queue.
+/// Timeout of the connection that fills the accept queue. If the connection is not established within this
+/// time, another one already fills the queue.
 const FILLER_TIMEOUT: Duration = Duration::from_millis(50);
 
 impl Server {
-    /// Accepts connections until the server is stopped. Dropping the set of connections resets them, as the
-    /// end of a process would.
+    /// Accepts connections until the server is stopped. The connections are dropped at the end and thereby
+    /// reset, as at the end of a process.
     pub(super) async fn accept_connections(self: Arc<Self>, listener: TcpListener) {
         let mut connections = JoinSet::new();
         let mut last_iteration_at = Instant::now();
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Records a stall if the accept loop was late. Returns the time of this iteration.
+    /// Records a stall if this iteration of the accept loop is late. Returns the current time.
     fn record_iteration(&self, last_iteration_at: Instant) -> Instant {
         let now = Instant::now();
         if now.duration_since(last_iteration_at) > MAX_ACCEPT_WAIT + MAX_HARNESS_DELAY {
@@ -47,8 +47,8 @@
         now
     }
 
-    /// Prevents new connections from being established until the server is open again: the accept queue is as
-    /// short as the system allows, and one connection fills it.
+    /// Prevents new connections from being established until the server is open again or stopped: shortens
+    /// the accept queue to the minimum that the system allows, and fills it with one connection.
     async fn block_new_connections(&self, listener: &TcpListener) {
         let mut reachability = self.reachability.subscribe();
         let Ok(address) = listener.local_addr() else { return };
@@ -61,11 +61,11 @@
         drop(filler);
     }
 
-    /// Serves a connection until the server is partitioned. The connection then carries nothing until the end
-    /// of the partition, and is reset.
+    /// Serves a connection until the connection ends or the server is partitioned. In a partition, the
+    /// connection carries no bytes and is reset when the partition ends.
     async fn serve_while_reachable(self: Arc<Self>, stream: TcpStream) {
         let mut reachability = self.reachability.subscribe();
-        // A second descriptor keeps the socket open beyond the end of the service.
+        // The duplicated descriptor keeps the socket open after `serve` is cancelled.
         let Ok(descriptor) = SockRef::from(&stream).try_clone() else { return };
         tokio::select! {
             () = self.clone().serve(stream) => return,
--- a/soak/src/server/mod.rs
+++ b/soak/src/server/mod.rs
@@ -1,4 +1,5 @@
-//! A stand-in server: accepts connections, answers requests as its behaviour says, and records every attempt.
+//! A simulated server, which accepts connections, responds to requests according to its behaviour, and
+//! records every attempt.
 
 mod accept;
 mod respond;
@@ -14,25 +15,25 @@
 use crate::net;
 use crate::record::SharedRecord;
 
-/// Requests that may wait for each slot; the server rejects further ones without executing them.
+/// Maximum number of waiting requests per slot. The server rejects further requests without executing them.
 const MAX_WAITING_PER_SLOT: usize = 6;
 
-/// What a server does with its requests.
+/// How a server responds to requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Behaviour {
-    /// Responds to each request after this time.
+    /// Executes each request in this latency, which is longer during slow start, and responds successfully.
     Serve(Duration),
-    /// Reads requests and never responds.
+    /// Reads requests but never responds.
     Unresponsive,
-    /// Resets the connection after a request.
+    /// Resets the connection after reading a request.
     Reset,
-    /// Writes a part of the response and resets the connection.
+    /// Writes half of the response and resets the connection.
     PartialResponse,
-    /// Responds successfully, and writes the response once more some milliseconds later.
+    /// Responds successfully, and writes the same response again some milliseconds later.
     DuplicateResponse,
-    /// Rejects each request because the server is full.
+    /// Rejects each request without executing it, as a full server does.
     Reject,
-    /// Responds with an error.
+    /// Responds to each request with an error.
     Fail,
 }
 
@@ -43,8 +44,8 @@
     Open,
     /// Established connections carry bytes; new connections are not established for now.
     AcceptsLate,
-    /// No connection carries any byte, and no new one is established. Connections that are established at the
-    /// beginning are reset at the end.
+    /// No connection carries any bytes, and no new one is established. Connections that exist when the
+    /// partition begins are reset when it ends.
     Partitioned,
 }
 
@@ -53,13 +54,13 @@
 pub struct ServerOptions {
     /// The number of the server in the record.
     pub number: usize,
-    /// Which of the server addresses the server listens on.
+    /// Index of the server address on which the server listens.
     pub address_index: usize,
-    /// The address.
+    /// The address on which the server listens.
     pub address: SocketAddr,
-    /// Least time that a warm server takes for a request.
+    /// Minimum latency of the server while it is warm.
     pub latency: Duration,
-    /// When the server started, if it starts cold.
+    /// When slow start began; `None` if the server starts warm.
     pub slow_start_since: Option<Instant>,
 }
 
@@ -67,18 +68,18 @@
 pub struct Server {
     /// The number of the server in the record.
     pub number: usize,
-    /// Which of the server addresses the server listens on.
+    /// Index of the server address on which the server listens.
     pub address_index: usize,
     behaviour: Mutex<Behaviour>,
     usual_behaviour: Behaviour,
     reachability: watch::Sender<Reachability>,
-    /// Requests that are executed at the same time.
+    /// One permit for each request that the server can execute concurrently.
     slots: Semaphore,
-    /// Requests that may wait for a slot.
+    /// Number of waiting requests above which the server rejects further ones.
     max_waiting: usize,
-    /// Requests that are waiting for a slot.
+    /// Number of requests that are waiting for a slot.
     num_waiting: AtomicUsize,
-    /// When the server started, if it started cold.
+    /// When slow start began; `None` if the server started warm.
     slow_start_since: Option<Instant>,
     deployment: Deployment,
     is_stopped: AtomicBool,
@@ -86,8 +87,8 @@
 }
 
 impl Server {
-    /// Starts a server that, once warm, serves exactly the deployment's capacity: limiters estimate the
-    /// capacity of a server from what they see it serve.
+    /// Starts a server that, once warm, has exactly the deployment's capacity, because limiters estimate the
+    /// capacity of a server from its observed throughput.
     ///
     /// # Errors
     /// The server cannot listen on its address.
@@ -119,12 +120,12 @@
         Ok(server)
     }
 
-    /// Changes whether connections reach the server.
+    /// Sets whether connections reach the server.
     pub fn set_reachability(&self, reachability: Reachability) {
         self.reachability.send_replace(reachability);
     }
 
-    /// Ends the server as the end of a process would: connections are reset and new ones are refused.
+    /// Stops the server with the effects of an ended process: connections are reset and new ones are refused.
     pub fn stop(&self) {
         self.is_stopped.store(true, Ordering::SeqCst);
     }
@@ -133,7 +134,7 @@
         self.is_stopped.load(Ordering::SeqCst)
     }
 
-    /// Changes the behaviour of the server; `None` restores the usual one.
+    /// Sets the behaviour of the server; `None` restores the usual behaviour.
     pub fn set_behaviour(&self, behaviour: Option<Behaviour>) {
         let mut current = self.behaviour.lock().unwrap_or_else(PoisonError::into_inner);
         *current = behaviour.unwrap_or(self.usual_behaviour);
--- a/soak/src/server/respond.rs
+++ b/soak/src/server/respond.rs
@@ -1,4 +1,4 @@
-//! How a server answers the requests of one connection.
+//! Responses of a server to the requests of one connection.
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Arc;
@@ -13,12 +13,12 @@
 use crate::net;
 use crate::record::{Attempt, RequestId, SharedRecord};
 
-/// Half of the requests with a shorter propagated deadline than this are dropped without a response.
+/// Propagated deadline, in seconds, below which the server drops half of the requests without a response.
 const SHORT_DEADLINE_S: f64 = 0.06;
-/// Delay of a duplicate response.
+/// Delay between a response and its duplicate.
 const DUPLICATE_DELAY: Duration = Duration::from_millis(4);
-/// A duplicate response that would be written later than this is left out: a limiter could not distinguish it
-/// from the response to the next request.
+/// Delay from which a duplicate response is omitted, because a limiter could not distinguish it from the
+/// response to the next request.
 const MAX_DUPLICATE_DELAY: Duration = Duration::from_millis(7);
 /// Delay between a partial response and the reset of its connection.
 const PARTIAL_RESPONSE_RESET_DELAY: Duration = Duration::from_millis(5);
@@ -27,7 +27,7 @@
 /// The response of a failing server.
 const ERROR: &str = "HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n";
 
-/// Whether a connection may carry further requests.
+/// Whether a connection stays open after a response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum AfterResponse {
     KeepOpen,
@@ -54,7 +54,8 @@
         }
     }
 
-    /// Records an attempt. Returns its index in the record, or `None` if the request has no valid id.
+    /// Records an attempt. Returns the attempt's index in the record, or `None` if the request has no valid
+    /// id.
     fn record_attempt(&self, request: &Message) -> Option<usize> {
         let now = Instant::now();
         let attempt = Attempt {
@@ -97,16 +98,16 @@
         }
     }
 
-    /// Returns whether the server drops a request because little time is left for it: every other such
-    /// request.
+    /// Returns whether the server drops a request because of a short deadline. Such a request is dropped if
+    /// its attempt has an even index.
     fn drops_request(&self, attempt: usize) -> bool {
         let deadline_s = self.record.lock().attempts[attempt].propagated_deadline_s;
         let is_short = deadline_s.is_some_and(|deadline_s| deadline_s < SHORT_DEADLINE_S);
         is_short && attempt.is_multiple_of(2)
     }
 
-    /// Executes a request and writes the response, unless the server is full or the limiter closes the
-    /// connection.
+    /// Executes a request and writes the response. Rejects the request if the server is full, and cancels the
+    /// execution if the limiter closes the connection.
     async fn execute(
         &self,
         connection: &mut Connection,
@@ -125,8 +126,8 @@
         write(connection, success).await
     }
 
-    /// Waits for a slot, and occupies it for the latency of the server, which is longer while the server is
-    /// cold. Cancelling frees the slot, or ends the wait for one.
+    /// Waits for a slot, and occupies the slot for the latency of the server, which is longer during slow
+    /// start. Cancellation frees the slot or ends the wait.
     async fn occupy_slot(&self, latency: Duration) {
         let waiting = CounterGuard::new(&self.num_waiting);
         let _slot = self.slots.acquire().await;
@@ -158,7 +159,7 @@
     write(connection, response).await
 }
 
-/// Increments a counter, and decrements it when dropped.
+/// Guard that increments a counter when created and decrements the counter when dropped.
 struct CounterGuard<'a>(&'a AtomicUsize);
 
 impl<'a> CounterGuard<'a> {
@@ -174,7 +175,7 @@
     }
 }
 
-/// Returns the id of a request, from its correlation id.
+/// Returns the id of a request, parsed from its correlation id.
 fn request_id(request: &Message) -> Option<RequestId> {
     request.header("x-correlation-id")?.strip_prefix("r-")?.parse().ok()
 }
