--- a/soak/src/addresses.rs
+++ b/soak/src/addresses.rs
@@ -1,5 +1,5 @@
-//! Loopback addresses of all parties of a run. Each run uses its own network, so that several runs can share
-//! a host.
+//! Loopback addresses of all components of a run. Each process uses its own network, so that several runs can
+//! share a host.
 
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
 
@@ -9,13 +9,13 @@
     network: u8,
 }
 
-/// Agents of discovery for each limiter. A configuration reload moves a limiter from one to the other.
+/// Number of discovery agents for each limiter. A configuration reload switches a limiter to the other agent.
 pub const AGENTS_PER_LIMITER: usize = 2;
-/// Number of addresses in a block, the third byte of an address.
+/// Number of addresses in a block. The block is the third byte of an address.
 const ADDRESSES_PER_BLOCK: usize = 250;
 
 impl Addresses {
-    /// Returns the addresses of this process. The second byte of each address is derived from the process id.
+    /// Returns the addresses for this process. The second byte of each is derived from the process id.
     pub fn for_process() -> Addresses {
         Addresses { network: 1 + (std::process::id() % 250) as u8 }
     }
@@ -36,13 +36,13 @@
         self.address(1, limiter, 7946)
     }
 
-    /// Returns the address to which peers send gossip for a limiter: the stand-in for the network listens
-    /// there.
+    /// Returns the address to which peers send gossip for a limiter: the simulated network listens on it and
+    /// forwards the gossip.
     pub fn gossip_proxy(self, limiter: usize) -> SocketAddr {
         self.address(2, limiter, 7946)
     }
 
-    /// Returns the address of one of a limiter's agents of discovery.
+    /// Returns the address of one of a limiter's discovery agents.
     pub fn discovery(self, limiter: usize, agent: usize) -> SocketAddr {
         self.address(3 + agent, limiter, 8500)
     }
--- a/soak/src/cost.rs
+++ b/soak/src/cost.rs
@@ -1,4 +1,4 @@
-//! Measures the resources that one limiter needs with a long endpoint list: processor time, memory and
+//! Measures the resources that one limiter needs with a long endpoint list: processor time, memory and file
 //! descriptors.
 
 use std::net::SocketAddr;
@@ -19,7 +19,7 @@
 use crate::record::{Record, ServerRecord, SharedRecord};
 use crate::server::{Server, ServerOptions};
 
-/// Servers that run. All servers of the list are announced at their addresses.
+/// Number of servers that run. All servers of the endpoint list are announced at the addresses of these.
 const NUM_RUNNING_SERVERS: usize = 12;
 /// Kernel ticks per second, the unit of processor time in `/proc`.
 const TICKS_PER_S: f64 = 100.0;
@@ -27,45 +27,47 @@
 const SEED: u64 = 1;
 /// Seed of the clients.
 const CLIENTS_SEED: u64 = 2;
-/// Servers close connections that have been idle for this time.
+/// Idle time after which a server closes a connection.
 const SERVER_IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 /// Latency of the servers.
 const SERVER_LATENCY: Duration = Duration::from_millis(10);
-/// Lowest rate of list changes per second.
+/// Lowest rate of endpoint list changes per second.
 const MIN_CHANGE_RATE_PER_S: f64 = 1e-3;
-/// Distance in the list between two servers that change one after the other.
+/// Distance in the endpoint list between two servers that change consecutively.
 const CHANGE_STEP: usize = 7;
 
-/// What is measured.
+/// Options of a measurement.
 #[derive(Args, Clone)]
 pub struct CostOptions {
-    /// Servers on the list.
+    /// Number of servers on the endpoint list.
     #[arg(long, default_value_t = 200)]
     servers: usize,
-    /// Limiters by the settings; one runs.
+    /// Number of limiters in the settings, of which only one runs.
     #[arg(long, default_value_t = 300)]
     limiters: usize,
     /// Requests per second.
     #[arg(long, default_value_t = 60.0)]
     rate: f64,
-    /// Changes of the list per second.
+    /// Changes of the endpoint list per second.
     #[arg(long, default_value_t = 2.0)]
     changes: f64,
-    /// Resets of all watches per second; each new watch begins with the complete list.
+    /// Resets of all watches per second. Each new watch begins with the complete endpoint list; a rate of 0
+    /// resets no watches.
     #[arg(long, default_value_t = 0.0)]
     resets: f64,
     /// Duration in seconds.
     #[arg(long, default_value_t = 20)]
     seconds: u64,
-    /// The limiter program.
+    /// Path of the limiter program.
     #[arg(long, default_value = "target/release/limiter")]
     program: PathBuf,
 }
 
-/// Measures the resources of one limiter and prints one line.
+/// Measures the resources of one limiter and prints them on one line.
 ///
 /// # Errors
-/// A stand-in cannot listen, or the program or the folder does not exist.
+/// A simulated component cannot listen on its address, the program does not exist, or the folder cannot be
+/// created or removed.
 pub async fn measure(options: &CostOptions) -> std::io::Result<()> {
     let deployment = deployment(options);
     let addresses = Addresses::for_process();
@@ -95,7 +97,7 @@
     std::fs::remove_dir_all(&folder)
 }
 
-/// Returns a deployment with one class and one plan, so that the settings do not change the load.
+/// Returns a deployment with one class and one plan, so that the load does not depend on the settings.
 fn deployment(options: &CostOptions) -> Deployment {
     let mut rng = StdRng::seed_from_u64(SEED);
     let mut deployment = Deployment::draw(&mut rng, 1, options.servers);
@@ -155,7 +157,7 @@
     Ok(started)
 }
 
-/// A long list of servers that share the addresses of the running ones.
+/// A long endpoint list, whose servers share the addresses of the running ones.
 struct ServerList {
     addresses: Vec<SocketAddr>,
 }
@@ -178,8 +180,8 @@
     }
 }
 
-/// Resets all watches at the given rate and makes the next ones begin with the complete list. Does nothing at
-/// a rate of 0.
+/// Resets all watches at the given rate and makes each new watch begin with the complete endpoint list. Does
+/// nothing if the rate is 0.
 async fn reset_watches(discovery: Arc<Discovery>, per_s: f64, until: Instant) {
     if per_s <= 0.0 {
         return;
@@ -193,7 +195,8 @@
     }
 }
 
-/// Announces at the given rate that a server drains, or that the same server serves again.
+/// Announces, at the rate of the options, alternately that a server is draining and that the same server is
+/// serving again.
 async fn change_list(discovery: &Discovery, list: &ServerList, options: &CostOptions, until: Instant) {
     let interval = Duration::from_secs_f64(1.0 / options.changes.max(MIN_CHANGE_RATE_PER_S));
     let mut due = Instant::now();
--- a/soak/src/deployment.rs
+++ b/soak/src/deployment.rs
@@ -9,23 +9,24 @@
 use rand::Rng;
 use serde_json::{json, Value};
 
-/// Zones of each deployment.
+/// Zones of every deployment.
 pub const ZONES: [&str; 2] = ["a", "b"];
-/// Number of cells of each deployment.
+/// Number of cells in every deployment.
 pub const NUM_CELLS: u32 = 3;
 
 /// Whether a request may be executed more than once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Idempotency {
-    /// Any number of executions has the effect of one.
+    /// Several executions have the same effect as one.
     Idempotent,
-    /// The request carries an idempotency key, and the servers of one scope drop its duplicates for a time.
+    /// The request carries an idempotency key, and the servers of one scope drop duplicates within the
+    /// deduplication window.
     WithKey(DedupScope),
-    /// The request must never be executed twice.
+    /// The request must not be executed more than once.
     NonIdempotent,
 }
 
-/// The servers that share one record of idempotency keys.
+/// Deduplication scope: the servers that share one record of idempotency keys.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DedupScope {
     /// All servers.
@@ -45,7 +46,7 @@
     pub idempotency: Idempotency,
     /// The latency objective.
     pub latency_objective: Duration,
-    /// How long servers drop duplicates of a key.
+    /// Deduplication window: how long servers drop duplicates of an idempotency key.
     pub dedup_window: Duration,
     late_value: f64,
 }
@@ -71,16 +72,16 @@
     pub slack: f64,
 }
 
-/// A deployment.
+/// A deployment: the size of the fleet, the settings of the limiters, and the parameters of the environment.
 #[derive(Debug, Clone)]
 pub struct Deployment {
     /// Number of limiters.
     pub limiters: usize,
     /// Number of servers at the start of the run.
     pub servers: usize,
-    /// Request classes; every class is drawn with the same probability.
+    /// Request classes. Requests are distributed uniformly over them.
     pub classes: Vec<RequestClass>,
-    /// Plans; every plan is drawn with the same probability.
+    /// Plans. Requests are distributed uniformly over them.
     pub plans: Vec<Plan>,
     /// Whether limiters subscribe to endpoint lists; otherwise an agent pushes the lists.
     pub subscribes: bool,
@@ -90,38 +91,38 @@
     pub rate_per_s: f64,
     /// Requests per second that a warm server can serve.
     pub capacity_per_s: f64,
-    /// Fraction of its capacity that a server has when it starts.
+    /// Fraction of the full capacity with which a server starts.
     pub initial_capacity_fraction: f64,
-    /// Time from the start of a server until it has its full capacity.
+    /// Duration of slow start: the time from the start of a server until it reaches its full capacity.
     pub slow_start: Duration,
-    /// A cold server fails under this multiple of its present capacity.
+    /// Multiple of its current capacity at which a server in slow start fails.
     pub overload_factor: f64,
-    /// How long an overload lasts before a cold server fails.
+    /// Duration of an overload after which a server in slow start fails.
     pub overload_time: Duration,
-    /// How long a limiter waits for a connection to be established.
+    /// Timeout of a limiter's connects.
     pub connect_timeout: Duration,
-    /// Servers close connections that have been idle for this time.
+    /// Idle time after which a server closes a connection.
     pub server_idle_timeout: Duration,
     /// Longest timeout of a client.
     pub max_timeout: Duration,
     /// Shortest timeout of a client.
     pub min_timeout: Duration,
-    /// Gossip messages are delayed by up to this time.
+    /// Longest delay of a gossip message.
     pub gossip_delay: Duration,
-    /// Fraction of the gossip messages that is lost.
+    /// Fraction of the gossip messages that are lost.
     pub gossip_loss: f64,
-    /// Seconds by which the wall clocks are off, of those limiters that run with the fault injection library.
+    /// Offset, in seconds, of the wall clocks of limiters that run with the fault injection library.
     pub clock_offset_s: i64,
 }
 
-/// Draws a time of at least `min` and at most `max` milliseconds.
+/// Draws a duration of at least `min` and at most `max` milliseconds.
 fn random_ms(rng: &mut StdRng, min: u64, max: u64) -> Duration {
     Duration::from_millis(rng.random_range(min..=max))
 }
 
 impl Deployment {
-    /// Draws a deployment of the given size. The order of the draws decides what a seed means and must not
-    /// change.
+    /// Draws a deployment of the given size. The order of the draws must not change: each seed has to
+    /// reproduce the same deployment.
     pub fn draw(rng: &mut StdRng, limiters: usize, servers: usize) -> Deployment {
         let dedup_window = random_ms(rng, 1500, 6000);
         let classes = draw_classes(rng, dedup_window);
@@ -150,14 +151,15 @@
         }
     }
 
-    /// Returns the fraction of its capacity that a server of this age has.
+    /// Returns the fraction of its full capacity that a server has at the given age.
     pub fn capacity_fraction(&self, age: Duration) -> f64 {
         let progress = (age.as_secs_f64() / self.slow_start.as_secs_f64()).min(1.0);
         self.initial_capacity_fraction + (1.0 - self.initial_capacity_fraction) * progress
     }
 
-    /// Returns how many requests a server of this age may receive within `overload_time` before the load
-    /// counts as an overload: N by the settings, plus an allowance for random arrivals.
+    /// Returns how many requests a server of the given age may receive within `overload_time` without a
+    /// violation: the number that overloads the server according to the settings, plus an allowance for
+    /// random arrivals.
     pub fn slow_start_budget(&self, age: Duration) -> f64 {
         let capacity_per_s = self.capacity_per_s * self.capacity_fraction(age);
         let overload_requests = self.overload_factor * capacity_per_s * self.overload_time.as_secs_f64();
--- a/soak/src/deployment/settings.rs
+++ b/soak/src/deployment/settings.rs
@@ -1,4 +1,4 @@
-//! The settings of a limiter in the JSON form that the platform writes.
+//! The settings of a limiter in the JSON format of the platform.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 use super::{DedupScope, Deployment, Idempotency, RequestClass, ZONES};
 
 impl Deployment {
-    /// Returns the settings of the limiter at a position.
+    /// Returns the settings of the limiter at a position in the deployment.
     pub fn settings(&self, position: usize) -> Value {
         let classes: Vec<Value> = self.classes.iter().map(|class| self.class_settings(class)).collect();
         let plans: Vec<Value> = self.plans.iter().map(|plan| plan.settings.clone()).collect();
--- a/soak/src/harness.rs
+++ b/soak/src/harness.rs
@@ -1,4 +1,4 @@
-//! All parties of a run: limiters, servers, discovery, the gossip network and clients.
+//! All components of a run: limiters, servers, discovery, the gossip network and clients.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -20,18 +20,18 @@
 use crate::record::{ServerRecord, SharedRecord};
 use crate::server::{Server, ServerOptions};
 
-/// Interval between two checks of the limiters' memory and descriptors.
+/// Interval between two checks of the limiters' memory and file descriptors.
 const LIMIT_CHECK_INTERVAL: Duration = Duration::from_millis(500);
-/// At most one in this many limiters is restarting at any time.
+/// A restart begins only while the restarting limiters are fewer than all limiters divided by this number.
 const RESTARTING_DIVISOR: usize = 3;
-/// Interval at which the end of the last restart is awaited.
+/// Interval at which the harness polls for the end of the last restart.
 const RESTART_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// All parties of a run.
+/// All components of a run.
 pub struct Harness {
     /// The deployment.
     pub deployment: Deployment,
-    /// What has been observed so far.
+    /// Observations of the run so far.
     pub record: Arc<SharedRecord>,
     /// The discovery service.
     pub discovery: Arc<Discovery>,
@@ -58,12 +58,12 @@
     pub server: Arc<Server>,
 }
 
-/// What stays the same when a server process restarts.
+/// Properties that a server keeps when its process restarts.
 #[derive(Debug, Clone)]
 pub struct ServerIdentity {
     /// The server id in endpoint lists.
     pub name: String,
-    /// Which of the server addresses the server listens on.
+    /// Index of the server address on which the server listens.
     pub address_index: usize,
     /// Index of the zone.
     pub zone: usize,
@@ -72,10 +72,10 @@
 }
 
 impl Harness {
-    /// Creates all parties; no server or limiter is started.
+    /// Creates all components without starting a server or limiter.
     ///
     /// # Errors
-    /// A stand-in cannot listen on its address.
+    /// A simulated component cannot listen on its address.
     pub async fn new(
         options: LaunchOptions,
         record: Arc<SharedRecord>,
@@ -142,7 +142,7 @@
         self.start_server(identity, has_slow_start, &mut rng)
     }
 
-    /// Starts a cold server under the name and address of one that has stopped.
+    /// Starts a server, with a slow start, under the name and address of a stopped one.
     ///
     /// # Errors
     /// The server cannot listen on its address.
@@ -179,8 +179,8 @@
         self.running_servers.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Removes a random server from the running ones, unless too few would be left. The caller withdraws and
-    /// stops the server.
+    /// Removes a random server from the running ones, unless at most two thirds of the initial number are
+    /// running. The caller has to stop the server.
     pub fn take_server(&self, rng: &mut SmallRng) -> Option<RunningServer> {
         let mut servers = self.running_servers();
         if servers.len() * 3 <= self.deployment.servers * 2 {
@@ -190,7 +190,7 @@
         Some(servers.swap_remove(index))
     }
 
-    /// Chooses up to a quarter of the servers at random.
+    /// Chooses running servers at random: at least one, and at most a quarter of the initial number.
     pub fn choose_servers(&self, rng: &mut SmallRng) -> Vec<Arc<Server>> {
         let max_count = (self.deployment.servers / 4).max(1);
         let count = rng.random_range(1..=max_count);
@@ -198,8 +198,8 @@
         servers.choose_multiple(rng, count).map(|running| running.server.clone()).collect()
     }
 
-    /// Marks a limiter as restarting. Returns false, and does nothing, if the limiter is not serving or if
-    /// too many others are restarting.
+    /// Marks a limiter as restarting and returns true. Returns false without a change if the limiter does not
+    /// accept clients, is already restarting, or too many others are restarting.
     pub fn try_begin_restart(&self, limiter: usize) -> bool {
         let mut restarting = self.restarting();
         let too_many = restarting.len() * RESTARTING_DIVISOR >= self.limiters.len();
@@ -210,7 +210,7 @@
         true
     }
 
-    /// Ends what [`Harness::try_begin_restart`] began.
+    /// Marks a limiter as no longer restarting.
     pub fn end_restart(&self, limiter: usize) {
         self.restarting().retain(|other| *other != limiter);
     }
@@ -226,7 +226,7 @@
         self.restarting.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Terminates all limiters at the same time, and waits for their ends.
+    /// Terminates all limiters concurrently, and waits until their processes have ended.
     pub async fn stop(&self) {
         let mut terminations = JoinSet::new();
         for limiter in self.limiters.clone() {
@@ -235,7 +235,7 @@
         terminations.join_all().await;
     }
 
-    /// Checks the memory and descriptors of all limiters periodically until the given time.
+    /// Periodically checks the memory and file descriptors of all limiters until the given time.
     pub async fn check_limits_until(self: Arc<Self>, until: Instant) {
         while Instant::now() < until {
             for limiter in &self.limiters {
--- a/soak/src/limiter_process/configuration.rs
+++ b/soak/src/limiter_process/configuration.rs
@@ -1,4 +1,4 @@
-//! The configuration file of a limiter.
+//! Writes the configuration file of a limiter.
 
 use std::fs;
 use std::path::PathBuf;
@@ -11,7 +11,8 @@
 use super::{LimiterProcess, MAX_DESCRIPTORS, MAX_MEMORY_MB};
 
 impl LimiterProcess {
-    /// Writes the configuration with the present agent of discovery. Returns the path of the file.
+    /// Writes the configuration with the address of the current discovery agent. Returns the path of the
+    /// file.
     pub(super) fn write_configuration(&self, configured_list: &Value) -> PathBuf {
         let addresses = self.options.addresses;
         let deployment = &self.options.deployment;
@@ -35,8 +36,8 @@
     }
 }
 
-/// Returns a seed for the random draws of the limiter itself, which are not part of the run's draw: a seed of
-/// the soak does not reproduce them.
+/// Returns a seed for the random draws of the limiter itself. The seed of a run does not reproduce those
+/// draws.
 fn random_seed() -> u64 {
     Instant::now().elapsed().as_nanos() as u64 ^ u64::from(process::id())
 }
--- a/soak/src/limiter_process/mod.rs
+++ b/soak/src/limiter_process/mod.rs
@@ -1,4 +1,4 @@
-//! A limiter through all its incarnations: each one is a real process.
+//! A limiter of the run. Each incarnation of the limiter is a real process.
 
 mod configuration;
 mod usage;
@@ -28,23 +28,23 @@
 use crate::http::{Connection, MessageKind};
 use crate::record::{Incarnation, SharedRecord};
 
-/// Descriptors that a limiter may use.
+/// Maximum number of file descriptors that a limiter may use.
 const MAX_DESCRIPTORS: u64 = 256;
-/// Memory that a limiter may use, in MiB.
+/// Maximum memory that a limiter may use, in MiB.
 const MAX_MEMORY_MB: u64 = 64;
-/// Each limiter has to be ready within this time. The operators ask it of nine in ten.
+/// Time within which every limiter has to be ready. The operators require this of only nine limiters in ten.
 const READY_TIMEOUT: Duration = Duration::from_secs(10);
 /// Interval at which readiness is polled.
 const READINESS_POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// Timeout of one readiness request.
 const READINESS_REQUEST_TIMEOUT: Duration = Duration::from_secs(1);
-/// Interval at which the end of a process is polled.
+/// Interval at which the harness polls for the end of a process.
 const EXIT_POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// Longest time after SIGTERM that the platform grants for responses.
+/// Longest grace period that the platform grants after SIGTERM for outstanding responses.
 const MAX_GRACE_PERIOD: Duration = Duration::from_secs(3);
-/// SIGKILL follows this long after the grace period.
+/// Time from the end of the grace period to SIGKILL.
 const KILL_DELAY: Duration = Duration::from_millis(700);
-/// Log lines with one of these texts are faults of the process.
+/// Texts that mark a log line as a fault of the process.
 const FAULT_LOG_TEXTS: [&str; 2] = ["panicked", "invariant violated"];
 
 /// How limiter processes are launched.
@@ -59,14 +59,14 @@
     pub addresses: Addresses,
     /// The deployment.
     pub deployment: Deployment,
-    /// The fault injection library, preloaded into every other limiter; none to run without failing system
-    /// calls.
+    /// The fault injection library, which is preloaded into every other limiter; `None` to run without
+    /// failing system calls.
     pub library: Option<PathBuf>,
-    /// The environment of the fault injection library.
+    /// Environment variables of the fault injection library.
     pub library_environment: Vec<EnvironmentVariable>,
 }
 
-/// A variable in the environment of a process.
+/// An environment variable of a process.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EnvironmentVariable {
     /// The name.
@@ -75,15 +75,15 @@
     pub value: String,
 }
 
-/// A limiter; at most one of its processes runs at a time.
+/// A limiter, of which at most one process runs at a time.
 pub struct LimiterProcess {
-    /// The number of the limiter, which is its position in the deployment.
+    /// The position of the limiter in the deployment.
     pub number: usize,
     options: Arc<LaunchOptions>,
     discovery: Arc<Discovery>,
     record: Arc<SharedRecord>,
     process: Mutex<Option<Pid>>,
-    /// The agent through which the limiter reaches discovery.
+    /// Index of the agent through which the limiter reaches discovery.
     agent: AtomicUsize,
 }
 
@@ -146,7 +146,7 @@
         command
     }
 
-    /// Writes the log of a process to a file, looks for faults in it, and records the end of the process.
+    /// Copies the log of a process to a file, checks the log for faults, and records the end of the process.
     async fn observe(self: Arc<Self>, mut child: Child, incarnation: usize) {
         let path = self.options.folder.join(format!("n{}.log", self.number));
         let mut log = OpenOptions::new().create(true).append(true).open(path).ok();
@@ -182,7 +182,7 @@
             }
             sleep(READINESS_POLL_INTERVAL).await;
         }
-        // A process that has been ended in the meantime need not be ready.
+        // A process that has ended in the meantime does not need to be ready.
         if self.is_running() {
             self.record_fault(&format!("is not ready after {READY_TIMEOUT:?}"));
         }
@@ -206,8 +206,8 @@
         self.process().is_some()
     }
 
-    /// Returns whether clients may be sent to the limiter: the process is ready, runs, and has received
-    /// neither SIGTERM nor SIGKILL.
+    /// Returns whether clients may connect to the limiter: its process has been ready, has not ended, and has
+    /// received neither SIGTERM nor SIGKILL.
     pub fn accepts_clients(&self) -> bool {
         let record = self.record.lock();
         let incarnations = record.incarnations.get(&self.number);
@@ -237,7 +237,8 @@
         }
     }
 
-    /// Ends the process by SIGTERM and, after the platform's grace period, by SIGKILL. Waits for the end.
+    /// Ends the process with SIGTERM and, if it outlives the platform's grace period, with SIGKILL. Waits
+    /// until the process has ended.
     pub async fn terminate(&self) {
         let terminated_at = Instant::now();
         self.update_incarnation(self.incarnation(), |incarnation| {
@@ -253,7 +254,7 @@
         }
     }
 
-    /// Ends the process by SIGKILL. Waits for the end.
+    /// Ends the process with SIGKILL and waits until the process has ended.
     pub async fn kill(&self) {
         let killed_at = Instant::now();
         self.update_incarnation(self.incarnation(), |incarnation| incarnation.killed_at = Some(killed_at));
@@ -263,7 +264,7 @@
         }
     }
 
-    /// Writes a configuration with the address of the limiter's other agent of discovery, and sends SIGHUP.
+    /// Writes a configuration with the address of the limiter's other discovery agent, and sends SIGHUP.
     pub fn switch_discovery_agent(&self) {
         self.agent.fetch_xor(1, Ordering::SeqCst);
         self.write_configuration(&self.discovery.complete_list());
--- a/soak/src/limiter_process/usage.rs
+++ b/soak/src/limiter_process/usage.rs
@@ -1,4 +1,4 @@
-//! The resources that a limiter process uses, as `/proc` reports them.
+//! Resource usage of a limiter process, as reported by `/proc`.
 
 use std::fs;
 
@@ -6,24 +6,24 @@
 
 use super::{LimiterProcess, MAX_DESCRIPTORS, MAX_MEMORY_MB};
 
-/// Fields of `/proc/PID/stat` between the name of the program and the user time.
+/// Number of fields in `/proc/PID/stat` between the program's name and the user time.
 const FIELDS_BEFORE_USER_TIME: usize = 11;
-/// The user time and the system time.
+/// Number of time fields: user time and system time.
 const NUM_TIME_FIELDS: usize = 2;
 
-/// The resources that a process has used so far.
+/// Resource usage of a process.
 #[derive(Debug, Default)]
 pub struct Usage {
     /// Processor time in kernel ticks.
     pub ticks: u64,
     /// Peak memory in KiB.
     pub peak_memory_kb: u64,
-    /// Open descriptors.
+    /// Number of open file descriptors.
     pub num_descriptors: usize,
 }
 
 impl LimiterProcess {
-    /// Records a fault if the process exceeds its memory or its descriptors.
+    /// Records a fault if the process exceeds its limit of memory or of file descriptors.
     pub fn check_limits(&self) {
         let Some(process) = self.process() else { return };
         if let Some(memory_kb) = memory_kb(process, "VmRSS:") {
@@ -33,11 +33,11 @@
         }
         let num_descriptors = count_descriptors(process);
         if num_descriptors as u64 > MAX_DESCRIPTORS {
-            self.record_fault(&format!("uses {num_descriptors} descriptors"));
+            self.record_fault(&format!("uses {num_descriptors} file descriptors"));
         }
     }
 
-    /// Returns the resources that the running process has used so far.
+    /// Returns the resource usage of the running process, or zeros if no process is running.
     pub fn usage(&self) -> Usage {
         let Some(process) = self.process() else { return Usage::default() };
         Usage {
@@ -51,13 +51,13 @@
 /// Returns the user and system time of a process in kernel ticks.
 fn processor_ticks(process: Pid) -> u64 {
     let stat = fs::read_to_string(format!("/proc/{process}/stat")).unwrap_or_default();
-    // The name of the program may contain spaces; a parenthesis ends it.
+    // The program's name may contain spaces and ends with a parenthesis.
     let fields = stat.rsplit(')').next().unwrap_or_default().split_whitespace();
     let times = fields.skip(FIELDS_BEFORE_USER_TIME).take(NUM_TIME_FIELDS);
     times.filter_map(|field| field.parse::<u64>().ok()).sum()
 }
 
-/// Returns a figure of `/proc/PID/status` in KiB.
+/// Returns a memory field of `/proc/PID/status` in KiB.
 fn memory_kb(process: Pid, name: &str) -> Option<u64> {
     let status = fs::read_to_string(format!("/proc/{process}/status")).ok()?;
     let value = status.lines().find_map(|line| line.strip_prefix(name))?;
--- a/soak/src/main.rs
+++ b/soak/src/main.rs
@@ -1,13 +1,14 @@
-//! Runs real limiters on loopback under overlapping faults, and checks the invariants that limiters must
-//! keep.
+//! Runs real limiter processes on loopback under overlapping faults, and checks the invariants that limiters
+//! must maintain.
 //!
-//! `soak run --seed N --seconds S` plays one seed, `soak many --seeds A..B --seconds S` several, one after
-//! the other, and `soak cost` measures the resources that one limiter needs. A seed decides the deployment
-//! and the faults; the interleaving of events on the sockets depends on the machine.
+//! `soak run --seed N --seconds S` runs one seed, `soak many --seeds A..B --seconds S` runs several seeds
+//! sequentially, and `soak cost` measures the resources that one limiter needs. A seed determines the
+//! deployment and the faults; the interleaving of events on the sockets depends on the machine.
 //!
-//! Begin with `run` (a run from its draw to its report), then read `harness` (all parties of a run), `faults`
-//! (what is injected) and `invariants` (what is checked, on the `record` of a run). The stand-ins are
-//! `clients`, `server`, `discovery` and `gossip`.
+//! Begin with `run` (a run from the random draw of its parameters to its report), and continue with `harness`
+//! (all components of a run), `faults` (the injected faults) and `invariants` (the checks on the `record` of
+//! a run). The modules `clients`, `server`, `discovery` and `gossip` simulate the environment of the
+//! limiters: their tasks run in the process of the soak.
 #![forbid(unsafe_code)]
 
 mod addresses;
@@ -39,9 +40,9 @@
 use cost::CostOptions;
 use run::RunOptions;
 
-/// Number of threads on which the stand-ins of a run are executed.
+/// Number of threads that execute the simulated components of a run.
 const WORKER_THREADS: usize = 8;
-/// Longest time for which the stand-ins of a run are awaited after the run. Those that are left are
+/// Longest wait after a run for the tasks of the simulated components. Tasks that are still running are
 /// abandoned.
 const RUNTIME_SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(1);
 
@@ -54,17 +55,17 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Plays one seed.
+    /// Runs one seed.
     Run {
-        /// Draws the deployment and the faults.
+        /// Seed of the random deployment and faults.
         #[arg(long)]
         seed: u64,
         #[command(flatten)]
         options: RunOptions,
     },
-    /// Plays several seeds, one after the other.
+    /// Runs several seeds sequentially.
     Many {
-        /// The seeds, as A..B without B.
+        /// Range of seeds A..B, which excludes B.
         #[arg(long, value_parser = parse_seed_range)]
         seeds: Range<u64>,
         #[command(flatten)]
@@ -74,9 +75,9 @@
     Cost(CostOptions),
 }
 
-/// The argument for seeds is not a range.
+/// The argument `--seeds` is not a range.
 #[derive(Debug, thiserror::Error)]
-#[error("seeds are A..B, without B")]
+#[error("expected a range of seeds A..B, which excludes B")]
 struct InvalidSeedRange;
 
 fn parse_seed_range(text: &str) -> Result<Range<u64>, InvalidSeedRange> {
@@ -98,7 +99,7 @@
     })
 }
 
-/// Plays seeds one after the other. The exit code tells whether all of them passed.
+/// Runs seeds sequentially. Returns the exit code of the program: success if no seed violated an invariant.
 fn run_seeds(seeds: Range<u64>, options: &RunOptions) -> io::Result<ExitCode> {
     let num_seeds = seeds.clone().count();
     let mut failed = Vec::new();
@@ -113,7 +114,8 @@
     Ok(if failed.is_empty() { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
 
-/// Runs a future to its end on a separate runtime, whose end also ends all stand-ins.
+/// Runs a future to completion on its own runtime. The shutdown of the runtime also ends the tasks of all
+/// simulated components.
 fn block_on<T>(future: impl Future<Output = io::Result<T>>) -> io::Result<T> {
     let runtime = Builder::new_multi_thread().worker_threads(WORKER_THREADS).enable_all().build()?;
     let result = runtime.block_on(future);
--- a/soak/src/report.rs
+++ b/soak/src/report.rs
@@ -1,4 +1,4 @@
-//! Prints the result of a run: one line of figures, and the violations with the timelines of their requests.
+//! Prints the result of a run: a summary line, and the violations with the timelines of their requests.
 
 use std::collections::BTreeMap;
 use std::time::Instant;
@@ -9,9 +9,9 @@
 use crate::invariants::{Invariant, Violation};
 use crate::record::{Attempt, ClientRequest, Outcome, Record, RequestId};
 
-/// Most violations that are printed, each with the timeline of its request.
+/// Maximum number of violations that are printed, each with the timeline of its request.
 const MAX_PRINTED_VIOLATIONS: usize = 8;
-/// Time before and after a request whose fault events belong to the timeline.
+/// Time before and after a request within which fault events are part of its timeline.
 const EVENT_MARGIN_S: f64 = 1.5;
 /// Significant digits of the latency histogram.
 const LATENCY_DIGITS: u8 = 2;
@@ -26,7 +26,7 @@
     pub record: &'a Record,
     /// The violations.
     pub violations: &'a [Violation],
-    /// The beginning of the run; times are printed relative to it.
+    /// The start of the run, to which printed times are relative.
     pub started_at: Instant,
 }
 
@@ -73,7 +73,7 @@
         counts
     }
 
-    /// Returns the times from the last byte of each request to its outcome, in milliseconds.
+    /// Returns the latency of each ended request, from its last byte to its outcome, in milliseconds.
     fn latencies(&self) -> Option<Histogram<u64>> {
         let mut latencies = Histogram::new(LATENCY_DIGITS).ok()?;
         for request in self.record.requests.values() {
@@ -151,7 +151,7 @@
         }
     }
 
-    /// Returns the time since the beginning of the run in seconds.
+    /// Returns the time from the start of the run to the given moment in seconds.
     fn seconds_since_start(&self, moment: Instant) -> f64 {
         moment.saturating_duration_since(self.started_at).as_secs_f64()
     }
--- a/soak/src/run/mod.rs
+++ b/soak/src/run/mod.rs
@@ -1,4 +1,5 @@
-//! One run: draws a deployment and faults from a seed, plays them, and checks the invariants.
+//! One run: draws a deployment and faults from a seed, injects the faults while clients send requests, and
+//! checks the invariants.
 
 #[cfg(test)]
 mod tests;
@@ -22,62 +23,64 @@
 use crate::record::SharedRecord;
 use crate::report::Report;
 
-/// Time after the last request within which all requests end: longer than the longest timeout of a client, 4
-/// s, and [`crate::clients::RESPONSE_GRACE`], 0.5 s.
+/// Wait after the last request until all requests have ended: longer than the sum of the longest client
+/// timeout, 4 s, and [`crate::clients::RESPONSE_GRACE`], 0.5 s.
 const SETTLE_TIME: Duration = Duration::from_secs(5);
-/// Fraction of the runs that begin with a quiet period, after which limiters have measured nothing of the
-/// servers.
+/// Fraction of the runs that begin with a quiet period without requests. Limiters have no measurements of the
+/// servers when that period ends.
 const QUIET_START_FRACTION: f64 = 0.25;
-/// Duration of that quiet period.
+/// Duration of the quiet period.
 const QUIET_PERIOD: Duration = Duration::from_secs(8);
-/// Steps of the wall clocks in seconds, of which a run draws one. With 0 the clocks are not stepped.
+/// Possible steps of the wall clocks in seconds. A run draws one of them; 0 leaves the clocks unstepped.
 const CLOCK_STEPS_S: [i64; 5] = [0, 3, -3, 3600, -3600];
-/// Of a thousand connections that break in the preloaded library, how many report another error than a reset.
+/// Per mille of the connections broken by the preloaded library that report an error other than a reset.
 const BROKEN_PER_MILLE: u32 = 500;
 
-/// How a seed is played.
+/// Options of a run.
 #[derive(Args, Clone)]
 pub struct RunOptions {
-    /// How long requests are sent, in seconds.
+    /// Duration for which clients send requests, in seconds.
     #[arg(long, default_value_t = 60)]
     pub seconds: u64,
     /// Number of limiters.
     #[arg(long, default_value_t = 24)]
     pub limiters: usize,
-    /// Number of servers at the start.
+    /// Number of servers at the start of the run.
     #[arg(long, default_value_t = 12)]
     pub servers: usize,
-    /// The limiter program.
+    /// Path of the limiter program.
     #[arg(long, default_value = "target/release/limiter")]
     pub program: PathBuf,
-    /// The fault injection library, preloaded into every other limiter. Without it, no system calls fail.
+    /// Path of the fault injection library, which is preloaded into every other limiter. Without the library,
+    /// no system calls fail.
     #[arg(long)]
     pub library: Option<PathBuf>,
-    /// Leaves out violations that depend on how soon the stand-ins run, for machines that are busy with other
-    /// work.
+    /// Ignores violations that depend on measured times. Meant for machines that are busy with other work,
+    /// which delays the simulated components.
     #[arg(long)]
     pub untimed: bool,
-    /// Folder for configurations and logs. Those of a seed without violations are removed.
+    /// Folder for configurations and logs. The files of a seed without violations are removed.
     #[arg(long, default_value = "/tmp/soak")]
     pub folder: PathBuf,
 }
 
-/// Everything that a seed decides, for a given number of limiters and servers.
+/// Everything that a seed determines, for a given number of limiters and servers.
 struct RunParameters {
     deployment: Deployment,
-    /// The environment of the fault injection library.
+    /// Environment variables of the fault injection library.
     library_environment: Vec<EnvironmentVariable>,
     harness_seed: u64,
-    /// Seeds the zones, cells and latencies of the first servers.
+    /// Generator of the seeds from which the zones, cells and latencies of the first servers are drawn.
     server_rng: StdRng,
     has_quiet_start: bool,
     clients_seed: u64,
-    /// Draws the faults.
+    /// Generator of the faults.
     fault_rng: StdRng,
 }
 
 impl RunParameters {
-    /// Draws a run. The order of the draws decides what a seed means and must not change.
+    /// Draws the parameters of a run. The order of the draws must not change: each seed has to reproduce the
+    /// same run.
     fn draw(seed: u64, limiters: usize, servers: usize) -> RunParameters {
         let mut rng = StdRng::seed_from_u64(seed);
         let deployment = Deployment::draw(&mut rng, limiters, servers);
@@ -99,7 +102,7 @@
     }
 }
 
-/// Draws how often system calls fail, and how the wall clock is stepped.
+/// Draws how often system calls fail and by how much the wall clock is stepped.
 fn draw_library_environment(rng: &mut StdRng, deployment: &Deployment) -> Vec<EnvironmentVariable> {
     let clock_step_s = CLOCK_STEPS_S[rng.random_range(0..CLOCK_STEPS_S.len())];
     let mut per_mille = |max: u32| rng.random_range(0..=max).to_string();
@@ -117,10 +120,11 @@
     .to_vec()
 }
 
-/// Plays one seed, prints a report, and returns the violations.
+/// Runs one seed, prints a report, and returns the violations.
 ///
 /// # Errors
-/// A stand-in cannot listen, or the program or the folder does not exist.
+/// A simulated component cannot listen on its address, the program or the library does not exist, or the
+/// folder cannot be created.
 pub async fn run_seed(seed: u64, options: &RunOptions) -> io::Result<Vec<Violation>> {
     let mut parameters = RunParameters::draw(seed, options.limiters, options.servers);
     let folder = options.folder.join(format!("{}-{seed}", std::process::id()));
@@ -163,7 +167,7 @@
     })
 }
 
-/// Sends requests and injects faults for the given time, and waits until all requests have ended.
+/// Sends requests and injects faults for the given duration, and waits until all requests have ended.
 async fn inject_faults(harness: &Arc<Harness>, parameters: &mut RunParameters, duration: Duration) {
     if parameters.has_quiet_start {
         harness.record.record_event(format!("quiet period of {QUIET_PERIOD:?}"));
