--- a/soak/src/clients/request.rs
+++ b/soak/src/clients/request.rs
@@ -9,33 +9,33 @@
 use crate::http::Message;
 use crate::record::{Outcome, RequestId};
 
-/// Customers on each plan.
+/// Number of customers on each plan.
 const CUSTOMERS_PER_PLAN: u64 = 12;
 /// Distance between the customer ids of two plans.
 const CUSTOMER_ID_STEP: u64 = 100;
-/// Limiters that receive the requests of one customer.
+/// Maximum number of limiters that receive the requests of one customer.
 const MAX_MEMBERS: usize = 4;
 /// Fraction of the requests with a very short timeout.
 const SHORT_TIMEOUT_FRACTION: f64 = 0.01;
 /// Body of a request that is not idempotent.
 const BODY: &str = "order";
 
-/// What a client asks for.
+/// A client's request, as drawn before it is sent.
 pub struct RequestSpec {
-    /// Identifies the request.
+    /// The request id.
     pub id: RequestId,
     /// Index of the request class.
     pub class: usize,
     /// Index of the plan.
     pub plan: usize,
-    /// The customer.
+    /// The customer id.
     pub customer: u64,
     /// Estimated cost in quota units.
     pub units: u32,
     /// How long the client waits for the response.
     pub timeout: Duration,
     /// Number of members of the customer's quota.
-    pub member_count: usize,
+    pub num_members: usize,
     /// Position of the first member.
     pub first_member: usize,
 }
@@ -64,7 +64,7 @@
             customer,
             units: rng.random_range(1..=3),
             timeout: Duration::from_millis(timeout_ms),
-            member_count: num_limiters.min(MAX_MEMBERS),
+            num_members: num_limiters.min(MAX_MEMBERS),
             first_member: customer as usize % num_limiters,
         }
     }
@@ -92,12 +92,12 @@
             deployment.plans[self.plan].name,
             self.timeout.as_secs_f64(),
             self.units,
-            self.member_count,
+            self.num_members,
             self.first_member,
         )
     }
 
-    /// Returns the outcome of the request after a complete response.
+    /// Returns the outcome of the request for a complete response.
     pub fn outcome(&self, response: &Message) -> Outcome {
         let expected_prefix = format!("r-{}:", self.id);
         let has_expected_body =
--- a/soak/src/net.rs
+++ b/soak/src/net.rs
@@ -1,4 +1,4 @@
-//! Socket options and listeners of the stand-ins.
+//! Socket options and listeners of the simulated components.
 
 use std::io;
 use std::net::SocketAddr;
@@ -7,10 +7,10 @@
 use socket2::{Domain, Protocol, SockRef, Socket, Type};
 use tokio::net::{TcpListener, TcpStream};
 
-/// Length of the accept queue.
-pub const ACCEPT_QUEUE: i32 = 1024;
+/// Length of the accept queue in connections.
+pub const ACCEPT_QUEUE_LENGTH: i32 = 1024;
 
-/// Listens on an address, also immediately after another listener on that address was closed.
+/// Listens on an address, even immediately after another listener on that address was closed.
 ///
 /// # Errors
 /// The address is not available.
@@ -19,16 +19,16 @@
     socket.set_reuse_address(true)?;
     socket.set_nonblocking(true)?;
     socket.bind(&address.into())?;
-    socket.listen(ACCEPT_QUEUE)?;
+    socket.listen(ACCEPT_QUEUE_LENGTH)?;
     TcpListener::from_std(socket.into())
 }
 
-/// Makes the close of a connection a reset.
-pub fn reset_on_close(stream: &TcpStream) {
+/// Makes closing a connection reset it.
+pub fn enable_reset_on_close(stream: &TcpStream) {
     let _ = SockRef::from(stream).set_linger(Some(Duration::ZERO));
 }
 
-/// Makes the close of a connection graceful again.
-pub fn close_gracefully(stream: &TcpStream) {
+/// Makes closing a connection graceful again.
+pub fn disable_reset_on_close(stream: &TcpStream) {
     let _ = SockRef::from(stream).set_linger(None);
 }
--- a/soak/src/report.rs
+++ b/soak/src/report.rs
@@ -1,4 +1,4 @@
-//! Prints the result of a run: one line of figures, and the violations with the timelines of their requests.
+//! Prints the result of a run: a summary line, and the violations with the timelines of their requests.
 
 use std::collections::BTreeMap;
 use std::time::Instant;
@@ -9,10 +9,10 @@
 use crate::invariants::{Invariant, Violation};
 use crate::record::{Attempt, ClientRequest, Outcome, Record, RequestId};
 
-/// Most violations that are printed, each with the timeline of its request.
+/// Maximum number of violations that are printed, each with the timeline of its request.
 const MAX_PRINTED_VIOLATIONS: usize = 8;
-/// Time before and after a request whose fault events belong to the timeline.
-const EVENTS_AROUND_S: f64 = 1.5;
+/// Time before and after a request within which fault events are part of its timeline.
+const EVENT_MARGIN_S: f64 = 1.5;
 /// Significant digits of the latency histogram.
 const LATENCY_DIGITS: u8 = 2;
 
@@ -26,8 +26,8 @@
     pub record: &'a Record,
     /// The violations.
     pub violations: &'a [Violation],
-    /// The beginning of the run; times are printed relative to it.
-    pub began_at: Instant,
+    /// The start of the run, to which printed times are relative.
+    pub started_at: Instant,
 }
 
 impl Report<'_> {
@@ -73,7 +73,7 @@
         counts
     }
 
-    /// Returns the times from the last byte of each request to its outcome, in milliseconds.
+    /// Returns the latency of each ended request, from its last byte to its outcome, in milliseconds.
     fn latencies(&self) -> Option<Histogram<u64>> {
         let mut latencies = Histogram::new(LATENCY_DIGITS).ok()?;
         for request in self.record.requests.values() {
@@ -107,7 +107,7 @@
         for attempt in self.record.attempts.iter().filter(|attempt| attempt.request == id) {
             self.print_attempt(attempt);
         }
-        let ended_s = request.ended_at.map_or(f64::NAN, |ended_at| self.seconds(ended_at));
+        let ended_s = request.ended_at.map_or(f64::NAN, |ended_at| self.seconds_since_start(ended_at));
         println!("    {ended_s:9.3} {:?}", request.outcome);
         self.print_events_around(request);
     }
@@ -115,7 +115,7 @@
     fn print_request(&self, id: RequestId, request: &ClientRequest) {
         println!(
             "    {:9.3} request r-{id} written to limiter {} (incarnation {}), class {}, plan {}, customer {}, timeout {:?}",
-            self.seconds(request.written_at),
+            self.seconds_since_start(request.written_at),
             request.limiter,
             request.incarnation,
             self.deployment.classes[request.class].name,
@@ -129,29 +129,30 @@
         let server = &self.record.servers[attempt.server];
         println!(
             "    {:9.3} attempt at {} (zone {}, cell {}), propagated deadline {:?} s, ended {:?}{}",
-            self.seconds(attempt.first_byte_at),
+            self.seconds_since_start(attempt.first_byte_at),
             server.name,
             server.zone,
             server.cell,
             attempt.propagated_deadline_s,
-            attempt.ended_at.map(|ended_at| self.seconds(ended_at)),
+            attempt.ended_at.map(|ended_at| self.seconds_since_start(ended_at)),
             if attempt.is_unprocessed { ", unprocessed" } else { "" },
         );
     }
 
     fn print_events_around(&self, request: &ClientRequest) {
-        let from_s = self.seconds(request.written_at) - EVENTS_AROUND_S;
-        let to_s = request.ended_at.map_or(f64::MAX, |ended_at| self.seconds(ended_at)) + EVENTS_AROUND_S;
+        let from_s = self.seconds_since_start(request.written_at) - EVENT_MARGIN_S;
+        let to_s =
+            request.ended_at.map_or(f64::MAX, |ended_at| self.seconds_since_start(ended_at)) + EVENT_MARGIN_S;
         for event in &self.record.events {
-            let at_s = self.seconds(event.at);
+            let at_s = self.seconds_since_start(event.at);
             if (from_s..to_s).contains(&at_s) {
                 println!("      {at_s:9.3} {}", event.text);
             }
         }
     }
 
-    /// Returns the time since the beginning of the run in seconds.
-    fn seconds(&self, moment: Instant) -> f64 {
-        moment.saturating_duration_since(self.began_at).as_secs_f64()
+    /// Returns the time from the start of the run to the given moment in seconds.
+    fn seconds_since_start(&self, moment: Instant) -> f64 {
+        moment.saturating_duration_since(self.started_at).as_secs_f64()
     }
 }
--- a/soak/src/server/respond.rs
+++ b/soak/src/server/respond.rs
@@ -1,4 +1,4 @@
-//! How a server answers the requests of one connection.
+//! Responses of a server to the requests of one connection.
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Arc;
@@ -13,12 +13,12 @@
 use crate::net;
 use crate::record::{Attempt, RequestId, SharedRecord};
 
-/// Half of the requests with a shorter propagated deadline than this are dropped without a response.
+/// Propagated deadline, in seconds, below which the server drops half of the requests without a response.
 const SHORT_DEADLINE_S: f64 = 0.06;
-/// Delay of a duplicate response.
+/// Delay between a response and its duplicate.
 const DUPLICATE_DELAY: Duration = Duration::from_millis(4);
-/// A duplicate response that would be written later than this is left out: a limiter could not distinguish it
-/// from the response to the next request.
+/// Delay from which a duplicate response is omitted, because a limiter could not distinguish it from the
+/// response to the next request.
 const MAX_DUPLICATE_DELAY: Duration = Duration::from_millis(7);
 /// Delay between a partial response and the reset of its connection.
 const PARTIAL_RESPONSE_RESET_DELAY: Duration = Duration::from_millis(5);
@@ -27,7 +27,7 @@
 /// The response of a failing server.
 const ERROR: &str = "HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n";
 
-/// Whether a connection may carry further requests.
+/// Whether a connection stays open after a response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum AfterResponse {
     KeepOpen,
@@ -37,12 +37,12 @@
 impl Server {
     /// Serves the requests of a connection until either side closes it.
     pub(super) async fn serve(self: Arc<Self>, stream: TcpStream) {
-        net::reset_on_close(&stream);
+        net::enable_reset_on_close(&stream);
         let mut connection = Connection::new(stream);
         let idle_timeout = self.deployment.server_idle_timeout;
         loop {
             let Ok(Ok(request)) = timeout(idle_timeout, connection.read(MessageKind::Request)).await else {
-                net::close_gracefully(&connection.stream);
+                net::disable_reset_on_close(&connection.stream);
                 return;
             };
             let Some(attempt) = self.record_attempt(&request) else { return };
@@ -54,7 +54,8 @@
         }
     }
 
-    /// Records an attempt. Returns its index in the record, or `None` if the request has no valid id.
+    /// Records an attempt. Returns the attempt's index in the record, or `None` if the request has no valid
+    /// id.
     fn record_attempt(&self, request: &Message) -> Option<usize> {
         let now = Instant::now();
         let attempt = Attempt {
@@ -97,16 +98,16 @@
         }
     }
 
-    /// Returns whether the server drops a request because little time is left for it: every other such
-    /// request.
+    /// Returns whether the server drops a request because of a short deadline. Such a request is dropped if
+    /// its attempt has an even index.
     fn drops_request(&self, attempt: usize) -> bool {
         let deadline_s = self.record.lock().attempts[attempt].propagated_deadline_s;
         let is_short = deadline_s.is_some_and(|deadline_s| deadline_s < SHORT_DEADLINE_S);
         is_short && attempt.is_multiple_of(2)
     }
 
-    /// Executes a request and writes the response, unless the server is full or the limiter closes the
-    /// connection.
+    /// Executes a request and writes the response. Rejects the request if the server is full, and cancels the
+    /// execution if the limiter closes the connection.
     async fn execute(
         &self,
         connection: &mut Connection,
@@ -119,20 +120,20 @@
             return write(connection, REJECTION).await;
         }
         tokio::select! {
-            () = self.wait_and_work(latency) => {}
+            () = self.occupy_slot(latency) => {}
             () = connection.closed_by_peer() => return AfterResponse::Close,
         }
         write(connection, success).await
     }
 
-    /// Waits for a slot, and occupies it for the latency of the server, which is longer while the server is
-    /// cold. Cancelling frees the slot, or ends the wait for one.
-    async fn wait_and_work(&self, latency: Duration) {
-        let waiting = CountWhileHeld::new(&self.num_waiting);
+    /// Waits for a slot, and occupies the slot for the latency of the server, which is longer during slow
+    /// start. Cancellation frees the slot or ends the wait.
+    async fn occupy_slot(&self, latency: Duration) {
+        let waiting = CounterGuard::new(&self.num_waiting);
         let _slot = self.slots.acquire().await;
         drop(waiting);
         let fraction =
-            self.cold_since.map_or(1.0, |since| self.deployment.capacity_fraction(since.elapsed()));
+            self.slow_start_since.map_or(1.0, |since| self.deployment.capacity_fraction(since.elapsed()));
         sleep(latency.div_f64(fraction)).await;
     }
 }
@@ -158,23 +159,23 @@
     write(connection, response).await
 }
 
-/// Increments a counter, and decrements it when dropped.
-struct CountWhileHeld<'a>(&'a AtomicUsize);
+/// Guard that increments a counter when created and decrements the counter when dropped.
+struct CounterGuard<'a>(&'a AtomicUsize);
 
-impl<'a> CountWhileHeld<'a> {
-    fn new(counter: &'a AtomicUsize) -> CountWhileHeld<'a> {
+impl<'a> CounterGuard<'a> {
+    fn new(counter: &'a AtomicUsize) -> CounterGuard<'a> {
         counter.fetch_add(1, Ordering::SeqCst);
-        CountWhileHeld(counter)
+        CounterGuard(counter)
     }
 }
 
-impl Drop for CountWhileHeld<'_> {
+impl Drop for CounterGuard<'_> {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::SeqCst);
     }
 }
 
-/// Returns the id of a request, from its correlation id.
+/// Returns the id of a request, parsed from its correlation id.
 fn request_id(request: &Message) -> Option<RequestId> {
     request.header("x-correlation-id")?.strip_prefix("r-")?.parse().ok()
 }
