--- a/limiter/tests/malformed_responses.rs
+++ b/limiter/tests/malformed_responses.rs
@@ -233,7 +233,7 @@
         let limiter = LimiterProcess::in_front_of(&server);
         assert_eq!(status_of_only_response(&limiter, &request_with_key("k", "x")), 502, "{case}");
         assert_retried_with_key(&attempts_of_request_x(&server));
-        let memory_kb = limiter.peak_memory_kb();
+        let memory_kb = limiter.peak_memory_kib();
         assert!(memory_kb < MAX_MEMORY_KB, "{memory_kb} kB, {case}");
         wait_attempts_closed(&server);
     }
--- a/limiter/tests/stubs/client.rs
+++ b/limiter/tests/stubs/client.rs
@@ -1,4 +1,4 @@
-//! Requests as clients write them, and the client's side of a connection.
+//! HTTP requests of clients, and functions that read responses on the client's side of a connection.
 
 use std::io::{ErrorKind, Read, Write};
 use std::net::TcpStream;
@@ -6,20 +6,21 @@
 
 use super::{read_message, retry_on_interrupt, HttpMessage, WAIT_TIMEOUT};
 
-/// A request for the limiter's readiness, answered with 200 or 503.
+/// A request for the readiness of the limiter, which is answered with 200 or 503.
 pub const READINESS_REQUEST: &str = "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n";
 
-/// The correlation id of a request for which the test chooses none.
-const DEFAULT_ID: &str = "c-1";
-/// The customer of a request for which the test chooses none.
+/// Correlation id of a request, unless the test chooses another.
+const DEFAULT_CORRELATION_ID: &str = "c-1";
+/// Customer of a request, unless the test chooses another.
 pub const DEFAULT_CUSTOMER: &str = "00000000b4d65521";
 
-/// Returns a request of a class without a body. `headers` are added, each of them with its line end.
+/// Returns a request without a body, of the request class `class`. `headers` is added to the head; each of
+/// its headers ends with a line end.
 pub fn request_of_class(class: &str, headers: &str) -> String {
     format!(
         "GET /{class}/{DEFAULT_CUSTOMER}?x=1 HTTP/1.1\r\n\
          Host: service.internal\r\n\
-         X-Correlation-Id: {DEFAULT_ID}\r\n\
+         X-Correlation-Id: {DEFAULT_CORRELATION_ID}\r\n\
          X-Tariff: basic\r\n\
          X-Time-Left: 3.0\r\n\
          X-Weight: units=1,spread=1,first=0\r\n\
@@ -34,25 +35,25 @@
 
 /// Returns an idempotent request with this correlation id. Its client waits 3 s.
 pub fn idempotent_request_with_id(id: &str) -> String {
-    idempotent_request().replace(DEFAULT_ID, id)
+    idempotent_request().replace(DEFAULT_CORRELATION_ID, id)
 }
 
 /// Returns an idempotent request whose client waits 60 s, which is longer than any test takes.
 pub fn request_with_long_timeout(id: &str) -> String {
-    idempotent_request().replace("Left: 3.0", "Left: 60").replace(DEFAULT_ID, id)
+    idempotent_request().replace("Left: 3.0", "Left: 60").replace(DEFAULT_CORRELATION_ID, id)
 }
 
-/// Returns a request with an idempotency key and a body. The correlation id is `c-` and the key.
+/// Returns a request with an idempotency key and a body. The correlation id is `c-{key}`.
 pub fn request_with_key(key: &str, body: &str) -> String {
     request_with_key_and_headers(key, "", body)
 }
 
-/// Returns a request with an idempotency key, a body and further headers, each of them with its line end. The
-/// correlation id is `c-` and the key.
+/// Returns a request with an idempotency key, a body and further headers, each of which ends with a line end.
+/// The correlation id is `c-{key}`.
 pub fn request_with_key_and_headers(key: &str, headers: &str, body: &str) -> String {
     let headers = format!("Idempotency-Key: {key}\r\nContent-Length: {}\r\n{headers}", body.len());
     let head = request_of_class("book", &headers).replacen("GET", "POST", 1);
-    head.replace(DEFAULT_ID, &format!("c-{key}")) + body
+    head.replace(DEFAULT_CORRELATION_ID, &format!("c-{key}")) + body
 }
 
 /// Reads one response from a connection and returns when the response is complete.
@@ -70,7 +71,7 @@
 ///
 /// # Panics
 ///
-/// Panics if the request cannot be written, and as [`read_response`] does.
+/// Panics if the request cannot be written, or if [`read_response`] panics.
 pub fn send_and_receive(stream: &mut TcpStream, request: &str) -> HttpMessage {
     stream.write_all(request.as_bytes()).expect("a written request");
     read_response(stream)
@@ -80,7 +81,7 @@
 pub struct ClosedConnection {
     /// All bytes that were received before the connection ended.
     pub received_text: String,
-    /// Time from the start that the test named until the connection ended.
+    /// Time from the start that the test passed to [`read_until_closed`] to the end of the connection.
     pub elapsed: Duration,
 }
 
@@ -96,7 +97,9 @@
     loop {
         match retry_on_interrupt(|| stream.read(&mut buffer)) {
             Ok(length) if length > 0 => received.extend_from_slice(&buffer[..length]),
-            Err(error) if error.kind() == ErrorKind::WouldBlock => panic!("not closed in {WAIT_TIMEOUT:?}"),
+            Err(error) if error.kind() == ErrorKind::WouldBlock => {
+                panic!("nothing received for {WAIT_TIMEOUT:?}")
+            }
             _ => break,
         }
     }
--- a/limiter/tests/stubs/configuration.rs
+++ b/limiter/tests/stubs/configuration.rs
@@ -1,12 +1,13 @@
-//! The limiter's configuration file, and the changes to it that several tests need.
+//! The configuration file of the limiter, and the changes to the file that several tests need.
 
 use std::net::SocketAddr;
 
-/// The endpoint list in the configuration file, if the test gives no other.
+/// The endpoint list in the configuration file, unless the test sets another.
 pub const EMPTY_ENDPOINT_LIST: &str = r#"{"version":1,"full":true,"servers":[]}"#;
 
-/// The configuration file of all tests, with a placeholder for the address of discovery.
-const CONFIGURATION: &str = r#"{
+/// The configuration file from which all tests start, with the placeholder `DISCOVERY` for the address of
+/// discovery.
+const DEFAULT_CONFIGURATION: &str = r#"{
 "name":"n0","listen":"127.0.0.1:0","discovery":"DISCOVERY","seed":"8c1f30d27a5be964",
 "limits":{"cores":1.0,"memory_mb":192,"sockets":1024},"known":{"version":1,"full":true,"servers":[]},
 "settings":{"Balancers":1,"Position":0,"Zone":"a","Dcs":["a","b"],"RoundMs":4,"Discovery":"automatic",
@@ -19,18 +20,20 @@
 
 /// The text of a configuration file.
 ///
-/// A change replaces text, so that a test shows the very key and value that it changes, and can write invalid
-/// files. Every method that changes the text panics if the text to be replaced is not there.
+/// Changes replace text instead of parsed values, so that a test shows the key and the value that it changes,
+/// and can write invalid files. Every method that changes the text panics if the text to be replaced does not
+/// occur.
 #[derive(Clone, Debug)]
 pub struct Configuration(String);
 
 impl Configuration {
-    /// Returns the configuration of all tests: one limiter without quotas, and discovery at this address.
+    /// Returns the configuration from which all tests start: one limiter without quotas, and discovery at
+    /// this address.
     pub fn with_discovery_at(address: &str) -> Configuration {
-        Configuration(CONFIGURATION.to_string()).replace("DISCOVERY", address)
+        Configuration(DEFAULT_CONFIGURATION.to_string()).replace("DISCOVERY", address)
     }
 
-    /// Wraps the text of a file that was written before.
+    /// Returns a configuration with the text of an existing file.
     pub fn from_text(text: String) -> Configuration {
         Configuration(text)
     }
@@ -52,27 +55,26 @@
         Configuration(self.0.replacen(from, to, 1))
     }
 
-    /// Sets the latency objective of idempotent requests to 10 minutes, so that the limiter may queue or
-    /// retry them until their clients time out.
+    /// Sets the latency objective of the class `look` to 10 minutes, so that the limiter may queue or retry
+    /// its idempotent requests until their clients time out.
     pub fn with_long_latency_objective(self) -> Configuration {
         self.with_latency_objective_ms(600_000)
     }
 
-    /// Sets the latency objective of idempotent requests.
+    /// Sets the latency objective of the class `look`, whose requests are idempotent.
     pub fn with_latency_objective_ms(self, ms: u32) -> Configuration {
         self.replace(r#""AimMs":1000"#, &format!("\"AimMs\":{ms}"))
     }
 
-    /// Adds a plan named `refused` before the plan of all requests. Its quota is so small that each of its
-    /// requests is rejected before it is forwarded.
+    /// Adds a plan named `refused` before `basic`, the plan of all other requests. The quota of `refused` is
+    /// so small that each request of this plan is rejected and never forwarded.
     pub fn with_rejecting_plan(self) -> Configuration {
         let plans = r#""TiersOfService":["#;
         let rejecting_plan = r#"{"Name":"refused","Rate":0.001,"StoreSize":0.001},"#;
         self.replace(plans, &format!("{plans}{rejecting_plan}"))
     }
 
-    /// Sets the quota of the plan of all requests, in JSON: the keys `Rate` and
-    /// `StoreSize`, and others as needed.
+    /// Sets the quota of the plan `basic`, in JSON: the keys `Rate` and `StoreSize`, and others as needed.
     pub fn with_quota(self, quota: &str) -> Configuration {
         self.replace(r#""Rate":0,"StoreSize":0"#, quota)
     }
@@ -87,7 +89,7 @@
         self.replace(r#""MostTries":3"#, &format!("\"MostTries\":{attempts}"))
     }
 
-    /// Sets the time after which a connect to a server fails.
+    /// Sets the timeout of a connect to a server.
     pub fn with_connect_timeout_ms(self, ms: u32) -> Configuration {
         self.replace(r#""DialTimeoutMs":250"#, &format!("\"DialTimeoutMs\":{ms}"))
     }
@@ -97,8 +99,8 @@
         self.replace(r#""Balancers":1"#, &format!("\"Balancers\":{limiters}"))
     }
 
-    /// Makes the limiter one of a deployment that gossips. `addresses` are the gossip addresses of all
-    /// limiters, the first of them that of the limiter under test.
+    /// Makes the limiter part of a deployment whose limiters gossip. `addresses` contains the gossip
+    /// addresses of all limiters, beginning with that of the limiter under test.
     pub fn with_peers(self, addresses: &[SocketAddr]) -> Configuration {
         let quoted: Vec<String> = addresses.iter().map(|address| format!("\"{address}\"")).collect();
         let local = &quoted[0];
@@ -108,13 +110,13 @@
         self.replace(known, &peers).with_num_limiters(addresses.len() as u32)
     }
 
-    /// Sets the position of the limiter among those of the deployment, counted from 0.
+    /// Sets the position of the limiter among all limiters of the deployment, counted from 0.
     pub fn with_position(self, position: u32) -> Configuration {
         self.replace(r#""Position":0"#, &format!("\"Position\":{position}"))
     }
 
-    /// Sets the number of descriptors that the limiter plans to use. The operating
-    /// system's limit does not change.
+    /// Sets the configured number of descriptors that the limiter may have open. The limit of the operating
+    /// system does not change.
     pub fn with_max_descriptors(self, descriptors: u32) -> Configuration {
         self.replace(r#""sockets":1024"#, &format!("\"sockets\":{descriptors}"))
     }
--- a/limiter/tests/stubs/disconnecting_client.rs
+++ b/limiter/tests/stubs/disconnecting_client.rs
@@ -1,5 +1,5 @@
-//! Clients that disconnect while their request is pending, and the requests that
-//! servers receive nevertheless.
+//! Clients that disconnect while their requests are pending, and the requests that servers receive
+//! nevertheless.
 
 use std::io::Write;
 use std::net::TcpStream;
@@ -12,19 +12,19 @@
 /// Correlation id of the request that the functions of this module send.
 const PENDING_ID: &str = "c-1";
 
-/// How long the limiter stays stopped after a client has disconnected, in milliseconds. The limiter may
-/// forward a request for 0.1 s after its client has disconnected, and must not after this time.
+/// How long the limiter stays stopped after a client has disconnected, in milliseconds. This is longer than
+/// the 0.1 s for which the limiter may still forward a request whose client has disconnected.
 const STALL_AFTER_DISCONNECT_MS: u64 = 200;
 
 /// What a client does before an event that makes the limiter forward the client's request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ClientBehaviour {
-    /// The client stays connected. This shows that the event makes the limiter forward the request.
+    /// The client stays connected. This case shows that the event makes the limiter forward the request.
     StaysConnected,
     /// The client disconnects, and the limiter detects the disconnect before the event.
     DisconnectsBeforeEvent,
-    /// The client disconnects while the limiter is stopped by SIGSTOP. The limiter sees the disconnect and
-    /// the event at the same time, more than 0.1 s after the disconnect.
+    /// The client disconnects while the limiter is stopped by SIGSTOP. When the limiter continues, more than
+    /// 0.1 s after the disconnect, it sees the disconnect and the event at the same time.
     DisconnectsDuringStall,
 }
 
@@ -49,12 +49,12 @@
 
 /// Returns whether the request `c-1` is pending.
 ///
-/// The function sends a second request with the same correlation id and a plan whose requests are always
-/// rejected, so that no server receives it. The limiter answers 409 only if the first request is pending.
+/// Sends a second request with the same correlation id and a plan whose requests are always rejected, so that
+/// no server receives the second request. The limiter answers 409 only if the first request is pending.
 ///
 /// # Panics
 ///
-/// Panics as [`LimiterProcess::request`] does.
+/// Panics if [`LimiterProcess::request`] panics.
 pub fn has_pending_request(limiter: &LimiterProcess) -> bool {
     let duplicate = request_with_long_timeout(PENDING_ID).replace("basic", "refused");
     limiter.request(&duplicate).status == 409
@@ -73,7 +73,7 @@
     ///
     /// # Panics
     ///
-    /// Panics as [`send_and_wait_until_pending`] does.
+    /// Panics if [`send_and_wait_until_pending`] panics.
     pub fn start() -> QueuedRequest {
         let limiter = LimiterProcess::with_endpoints(&[], allow_long_pending_requests);
         let client = send_and_wait_until_pending(&limiter);
@@ -81,7 +81,7 @@
     }
 }
 
-/// Sends the request `c-1` and returns when the request is pending, with the connection of its client. The
+/// Sends the request `c-1`, waits until the request is pending, and returns the connection of its client. The
 /// configuration must be that of [`allow_long_pending_requests`].
 ///
 /// # Panics
@@ -93,7 +93,7 @@
     client
 }
 
-/// Returns when the request `c-1` is pending.
+/// Waits until the request `c-1` is pending.
 ///
 /// # Panics
 ///
@@ -102,8 +102,8 @@
     wait_for("the request to be pending", || has_pending_request(limiter));
 }
 
-/// Returns when the request `c-1` is no longer pending because the limiter has detected that
-/// its client disconnected.
+/// Waits until the request `c-1` is no longer pending because the limiter has detected that its client
+/// disconnected.
 ///
 /// # Panics
 ///
@@ -112,7 +112,7 @@
     wait_for("the disconnect to be detected", || !has_pending_request(limiter));
 }
 
-/// What the client of the request `c-1` and the servers have received when a limiter has exited.
+/// What the client of the request `c-1` and the servers have received by the time the limiter has exited.
 #[derive(Debug, PartialEq)]
 pub struct RaceOutcome {
     /// Status of the response to the request `c-1`. `None` if its client disconnected.
@@ -137,8 +137,8 @@
     ids.iter().map(ToString::to_string).collect()
 }
 
-/// Has the client of the request `c-1` show this behaviour, and triggers the event. Returns the status of the
-/// response if the client stays connected, and `None` otherwise.
+/// Performs this behaviour with the client of the request `c-1`, and triggers the event. Returns the status
+/// of the response if the client stays connected, and `None` otherwise.
 ///
 /// # Panics
 ///
@@ -165,7 +165,8 @@
             limiter.signal("STOP");
             drop(client);
             trigger_event();
-            // This sleep awaits no event: it makes the disconnect so old that no attempt may begin any more.
+            // This sleep waits for no event. After it, the client has been disconnected for so long that no
+            // attempt may begin.
             sleep_ms(STALL_AFTER_DISCONNECT_MS);
             limiter.signal("CONT");
             None
@@ -186,8 +187,8 @@
     assert_eq!(limiter.wait_for_exit_code(), Some(0));
     let mut ids = Vec::new();
     for server in servers {
-        // A server accepts connections in their order. Once it has received the request on this connection,
-        // it has accepted all connections of the limiter.
+        // A server accepts connections in the order of their connects. Once a server has received the request
+        // on this connection, the server has accepted all connections of the limiter.
         let mut last_client = TcpStream::connect(server.addr).expect("a connection to the server");
         last_client.write_all(request_with_long_timeout(LAST_ID).as_bytes()).expect("a written request");
         wait_for("the last request", || server.num_received_with_id(LAST_ID) > 0);
--- a/limiter/tests/stubs/discovery.rs
+++ b/limiter/tests/stubs/discovery.rs
@@ -1,4 +1,4 @@
-//! A stub of discovery: it answers watch requests, and sends endpoint lists and heartbeats on the watches.
+//! A stub of discovery, which answers watch requests and sends endpoint lists and heartbeats on the watches.
 
 use std::io::Write;
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -8,33 +8,33 @@
 
 use super::{lock, read_message, sleep_ms, wait_for, HttpMessage};
 
-/// What a watch sends while there is no change.
+/// The text that a watch sends while the endpoint list does not change.
 pub const HEARTBEAT: &str = "\n";
 /// Time between two heartbeats of a watch, in milliseconds. The limiter reopens a watch
 /// that is silent for 2.5 s.
 const HEARTBEAT_INTERVAL_MS: u64 = 500;
 
-/// What the test and the threads of a stub share.
+/// State that a stub shares with its threads.
 #[derive(Default)]
 struct State {
-    /// Head of each watch request that was answered, in their order.
+    /// Heads of the watch requests that opened a watch without [`StubDiscovery::resume_with`], oldest first.
     answered_heads: Mutex<Vec<String>>,
-    /// Watches that are open, in their order.
+    /// Watches that the stub has not closed, oldest first.
     watches: Mutex<Vec<TcpStream>>,
     heartbeats_stopped: AtomicBool,
-    /// Watch requests are accepted, and not answered until the stub resumes.
+    /// Whether watch requests are accepted but not answered until the stub resumes.
     is_unresponsive: AtomicBool,
-    /// Connections of the watch requests that wait for the stub to resume.
-    unanswered: Mutex<Vec<TcpStream>>,
-    /// Watch requests that were received, answered or not.
+    /// Connections of the watch requests that are not answered until the stub resumes.
+    unanswered_streams: Mutex<Vec<TcpStream>>,
+    /// Number of watch requests that were received, answered or not.
     num_watch_requests: AtomicUsize,
-    /// Watch requests that are still to be closed without an answer.
-    num_failures: AtomicUsize,
+    /// Number of watch requests that are yet to be closed without an answer.
+    num_remaining_failures: AtomicUsize,
     /// Time between a watch request and its answer.
     response_delay: Duration,
-    /// The first text of each new watch. `None` for a heartbeat. The text stays until the test sends another
-    /// one or closes the watches: on a busy machine the limiter may abandon a watch request as slow, and the
-    /// watch that replaces it must begin with the same text.
+    /// The first text of each new watch. `None` for a heartbeat. The text is kept until the test sends
+    /// another one, stops the heartbeats or closes the watches: on a busy machine the limiter may abandon a
+    /// slow watch request, and the watch of the next request must begin with the same text.
     first_message: Mutex<Option<String>>,
 }
 
@@ -46,12 +46,12 @@
             self.num_watch_requests.fetch_add(1, Ordering::SeqCst);
             // The lock is taken before the flag is read, so that no request is added
             // after the stub has resumed.
-            let mut unanswered = lock(&self.unanswered);
+            let mut unanswered_streams = lock(&self.unanswered_streams);
             if self.is_unresponsive.load(Ordering::SeqCst) {
-                unanswered.push(stream);
+                unanswered_streams.push(stream);
                 continue;
             }
-            drop(unanswered);
+            drop(unanswered_streams);
             if self.response_delay.is_zero() {
                 self.answer(stream, request);
             } else {
@@ -64,10 +64,10 @@
         }
     }
 
-    /// Opens a watch, or closes the connection if the request is one of those that fail.
+    /// Opens a watch, or closes the connection while requests are yet to fail.
     fn answer(&self, stream: TcpStream, request: HttpMessage) {
         let decrement = |num_failures: usize| num_failures.checked_sub(1);
-        if self.num_failures.fetch_update(Ordering::SeqCst, Ordering::SeqCst, decrement).is_ok() {
+        if self.num_remaining_failures.fetch_update(Ordering::SeqCst, Ordering::SeqCst, decrement).is_ok() {
             return;
         }
         self.open_watch(stream);
@@ -93,12 +93,12 @@
     }
 }
 
-/// Writes a chunk. The limiter may have closed the watch, which is no error of the test.
+/// Writes a chunk to a watch. Errors are ignored, because the limiter may have closed the watch.
 fn write_chunk(stream: &mut TcpStream, text: &str) {
     let _ = write!(stream, "{:x}\r\n{text}\r\n", text.len());
 }
 
-/// A stub of discovery. The test decides what its watches send.
+/// A stub of discovery whose watches send what the test determines.
 pub struct StubDiscovery {
     /// Address at which the stub accepts watch requests.
     pub addr: SocketAddr,
@@ -135,7 +135,7 @@
     /// watch requests after the delay without an answer.
     pub fn with_slow_failures(first_message: String, delay_ms: u64, num_failures: usize) -> StubDiscovery {
         let discovery = StubDiscovery::with_response_delay_ms(first_message, delay_ms);
-        discovery.state.num_failures.store(num_failures, Ordering::SeqCst);
+        discovery.state.num_remaining_failures.store(num_failures, Ordering::SeqCst);
         discovery
     }
 
@@ -152,8 +152,8 @@
         discovery
     }
 
-    /// Waits for a first watch, and sends a text on the newest one. If the text does not end with a line end,
-    /// heartbeats stop until a text does.
+    /// Waits until a watch has been opened, and sends a text on the newest one. If the text does not end with
+    /// a line end, no heartbeats are sent until another text does.
     ///
     /// # Panics
     ///
@@ -162,20 +162,20 @@
         wait_for("a watch", || self.num_opened_watches() > 0);
         *lock(&self.state.first_message) = None;
         if let Some(watch) = lock(&self.state.watches).last_mut() {
-            // A heartbeat would end an incomplete line, so that none may be sent after this text.
+            // A heartbeat would end an incomplete line, so no heartbeat may follow this text.
             self.state.heartbeats_stopped.store(true, Ordering::SeqCst);
             write_chunk(watch, text);
         }
         self.state.heartbeats_stopped.store(!text.ends_with('\n'), Ordering::SeqCst);
     }
 
-    /// Returns the heads of the watch requests that opened a watch, in their order. Requests that were
-    /// answered by [`StubDiscovery::resume_with`] are not among them.
+    /// Returns the heads of the watch requests that opened a watch, oldest first. Requests that were answered
+    /// by [`StubDiscovery::resume_with`] are not included.
     pub fn watch_request_heads(&self) -> Vec<String> {
         lock(&self.state.answered_heads).clone()
     }
 
-    /// Returns the number of [`StubDiscovery::watch_request_heads`].
+    /// Returns the length of [`StubDiscovery::watch_request_heads`].
     pub fn num_opened_watches(&self) -> usize {
         lock(&self.state.answered_heads).len()
     }
@@ -185,23 +185,24 @@
         self.state.num_watch_requests.load(Ordering::SeqCst)
     }
 
-    /// Stops heartbeats, and answers no further watch request until [`StubDiscovery::resume_with`].
+    /// Stops heartbeats, and stops answering watch requests until [`StubDiscovery::resume_with`].
     pub fn stop_responding(&self) {
         self.stop_heartbeats();
         self.state.is_unresponsive.store(true, Ordering::SeqCst);
     }
 
     /// Answers the outstanding watch requests and all further ones. The new watches begin with this text.
+    /// Heartbeats stay stopped until [`StubDiscovery::send`].
     pub fn resume_with(&self, text: &str) {
         *lock(&self.state.first_message) = Some(text.to_string());
-        let mut unanswered = lock(&self.state.unanswered);
+        let mut unanswered_streams = lock(&self.state.unanswered_streams);
         self.state.is_unresponsive.store(false, Ordering::SeqCst);
-        for stream in unanswered.drain(..) {
+        for stream in unanswered_streams.drain(..) {
             self.state.open_watch(stream);
         }
     }
 
-    /// Sends no heartbeats from now on. New watches begin with a heartbeat.
+    /// Stops heartbeats on all watches. New watches still begin with one heartbeat.
     pub fn stop_heartbeats(&self) {
         *lock(&self.state.first_message) = None;
         self.state.heartbeats_stopped.store(true, Ordering::SeqCst);
--- a/limiter/tests/stubs/endpoint_list.rs
+++ b/limiter/tests/stubs/endpoint_list.rs
@@ -12,32 +12,32 @@
     state: &'static str,
 }
 
-/// Returns the entry of a stub server that serves.
+/// Returns the entry of a serving stub server.
 pub fn serving(id: &'static str, server: &StubServer) -> Endpoint {
     serving_at(id, server.addr)
 }
 
-/// Returns the entry of a server that serves at this address.
+/// Returns the entry of a serving server at this address.
 pub fn serving_at(id: &'static str, addr: SocketAddr) -> Endpoint {
     Endpoint { id, addr, state: "active" }
 }
 
-/// Returns the entry of a server that drains.
+/// Returns the entry of a draining server at this address.
 pub fn draining_at(id: &'static str, addr: SocketAddr) -> Endpoint {
     Endpoint { id, addr, state: "leaving" }
 }
 
-/// Returns the entry of a server that was removed.
+/// Returns the entry of a removed server, which had this address.
 pub fn removed_at(id: &'static str, addr: SocketAddr) -> Endpoint {
     Endpoint { id, addr, state: "left" }
 }
 
-/// Returns a complete list, with its line end. Servers that are not on the list are removed.
+/// Returns a complete list, with its line end. The limiter removes servers that are not on the list.
 pub fn complete_list(version: u64, endpoints: &[Endpoint]) -> String {
     endpoint_list(version, true, endpoints)
 }
 
-/// Returns a list of changes, with its line end. Servers that are not on the list stay as they are.
+/// Returns a list of changes, with its line end. Servers that are not on the list do not change.
 pub fn list_change(version: u64, endpoints: &[Endpoint]) -> String {
     endpoint_list(version, false, endpoints)
 }
@@ -51,8 +51,8 @@
 impl Endpoint {
     fn to_json(&self) -> String {
         let Endpoint { id, addr, state } = self;
-        let location = format!(r#""id":"{id}","addr":"{addr}","zone":"a","kind":"m","cell":0"#);
-        let condition = format!(r#""state":"{state}","weight":1.0,"started_ms":0"#);
-        format!("{{{location},{condition}}}")
+        let identity_fields = format!(r#""id":"{id}","addr":"{addr}","zone":"a","kind":"m","cell":0"#);
+        let state_fields = format!(r#""state":"{state}","weight":1.0,"started_ms":0"#);
+        format!("{{{identity_fields},{state_fields}}}")
     }
 }
--- a/limiter/tests/stubs/gate.rs
+++ b/limiter/tests/stubs/gate.rs
@@ -1,4 +1,4 @@
-//! Control over when a stub server responds, and over how it closes a connection.
+//! Control over when a stub server responds and how the server closes a connection.
 
 use std::net::TcpStream;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -6,13 +6,13 @@
 
 use super::wait_for;
 
-/// A gate at which a thread of a stub waits until the test opens it. The gate is closed at first, and all of
-/// its clones open together.
+/// A gate at which threads of a stub wait until the test opens the gate. The gate is initially closed. All
+/// clones of a gate open together.
 #[derive(Clone, Default)]
 pub struct Gate(Arc<AtomicBool>);
 
 impl Gate {
-    /// Opens the gate for good. All threads that wait at it continue.
+    /// Opens the gate permanently. All threads that wait at the gate continue.
     pub fn open(&self) {
         self.0.store(true, Ordering::SeqCst);
     }
@@ -38,7 +38,8 @@
 ///
 /// Panics if the socket option cannot be set.
 pub fn reset_on_close(stream: &TcpStream) {
-    // The standard library has no stable function for this option. tokio has one, for sockets of a runtime.
+    // The standard library has no stable function for this option. tokio has one for the sockets of a
+    // runtime.
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     let _context = runtime.enter();
     let stream = stream.try_clone().expect("a clone of the stream");
--- a/limiter/tests/stubs/http.rs
+++ b/limiter/tests/stubs/http.rs
@@ -1,19 +1,19 @@
-//! HTTP messages as stubs read and write them.
+//! HTTP messages that stubs read and write.
 
 use std::io::{Error, ErrorKind, Read, Result, Write};
 use std::net::TcpStream;
 
 use super::retry_on_interrupt;
 
-/// The response of a server that has not executed the request and says so.
+/// A response that rejects a request and states that the server has not executed the request.
 const REJECTION: &[u8] = b"HTTP/1.1 503 Busy\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n";
 
-/// A request or a response as it was received.
+/// A request or a response that was received.
 #[derive(Clone, Debug, Default)]
 pub struct HttpMessage {
     /// Status code of a response. 0 for a request.
     pub status: u16,
-    /// First line and headers, with the empty line after them.
+    /// First line and headers, including the empty line after them.
     pub head: String,
     /// Body, empty if the message has none.
     pub body: String,
@@ -21,14 +21,14 @@
 
 impl HttpMessage {
     /// Returns the value of the first header with this name, without surrounding spaces, or `None` if there
-    /// is none. The case of the name is ignored.
+    /// is no such header. The case of the name is ignored.
     pub fn header(&self, name: &str) -> Option<String> {
         let mut headers = self.head.lines().skip(1).filter_map(|line| line.split_once(':'));
         let (_, value) = headers.find(|(found_name, _)| found_name.eq_ignore_ascii_case(name))?;
         Some(value.trim().to_string())
     }
 
-    /// Returns the correlation id that the client gave the request. Empty if the request has none.
+    /// Returns the correlation id of the request, or an empty text if the request has none.
     pub fn correlation_id(&self) -> String {
         self.header("x-correlation-id").unwrap_or_default()
     }
@@ -70,8 +70,8 @@
     write!(stream, "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len()).is_ok()
 }
 
-/// Writes the response of a server that has not executed the request. Returns false if
-/// the connection is closed.
+/// Writes a response that rejects a request which the server has not executed. Returns false if the
+/// connection is closed.
 pub fn write_rejection(stream: &mut TcpStream) -> bool {
     stream.write_all(REJECTION).is_ok()
 }
--- a/limiter/tests/stubs/in_flight_request.rs
+++ b/limiter/tests/stubs/in_flight_request.rs
@@ -1,4 +1,4 @@
-//! A request that a server has received and not answered yet.
+//! A request that a server has received but not yet answered.
 
 use std::net::TcpStream;
 use std::sync::Arc;
@@ -8,12 +8,12 @@
     LimiterProcess, StubServer,
 };
 
-/// Ids under which the servers are announced, in their order.
+/// Ids of the servers in the endpoint list, in the order of [`InFlightRequest::servers`].
 const SERVER_IDS: [&str; 2] = ["s-1", "s-2"];
 
 /// Servers, a limiter in front of them, and a client whose request is in flight at one of the servers.
 pub struct InFlightRequest {
-    /// The servers, announced as s-1 and s-2.
+    /// The servers, whose ids in the endpoint list are s-1 and s-2.
     pub servers: Vec<StubServer>,
     /// The limiter that has forwarded the request.
     pub limiter: LimiterProcess,
@@ -22,8 +22,8 @@
 }
 
 impl InFlightRequest {
-    /// Starts one or two servers that respond alike and a limiter in front of them, and sends `request`.
-    /// Returns when a server has received the request.
+    /// Starts one or two servers that respond in the same way and a limiter in front of them, and sends
+    /// `request`. Returns when a server has received the request.
     ///
     /// `respond` answers each request on its connection, and returns whether the connection stays open.
     ///
@@ -58,7 +58,7 @@
     ///
     /// # Panics
     ///
-    /// Panics as [`InFlightRequest::start`] does.
+    /// Panics if [`InFlightRequest::start`] panics.
     pub fn start_at_slow_server() -> InFlightRequest {
         let respond = |_: &HttpMessage, stream: &mut TcpStream| {
             sleep_ms(300);
--- a/limiter/tests/stubs/limiter_command.rs
+++ b/limiter/tests/stubs/limiter_command.rs
@@ -1,4 +1,4 @@
-//! How the limiter is run: its configuration file, its command line and environment, and signals to it.
+//! The configuration file, command line and environment of the limiter, and signals to the process.
 
 use std::path::{Path, PathBuf};
 use std::process::{Command, Stdio};
@@ -6,7 +6,7 @@
 
 use super::Configuration;
 
-/// Limit on open descriptors of a limiter, if the test sets no other.
+/// Limit on open descriptors of a limiter, unless the test sets another.
 pub const DEFAULT_DESCRIPTOR_LIMIT: u32 = 1024;
 
 /// Writes a configuration to a new temporary file and returns the path.
@@ -30,25 +30,26 @@
     command.arg(descriptor_limit.to_string());
     command.env_remove("ROUTER_NAME").env_remove("ROUTER_LISTEN").env_remove("ROUTER_DISCOVERY");
     command.env("ROUTER_CONFIG", configuration).stderr(Stdio::piped());
-    // A test that fails shows what happened to each request and connection.
+    // The log that a failed test prints shows what happened to each request and connection.
     command.env("LIMITER_LOG", "debug");
     command
 }
 
-/// Returns the path of the library that makes system calls fail. Cargo builds the library beside the test.
+/// Returns the path of the `fault_shim` library, which makes system calls fail. Cargo builds the library into
+/// the directory of the test.
 ///
 /// # Panics
 ///
 /// Panics if the library was not built.
-pub fn fault_shim() -> PathBuf {
+pub fn fault_shim_path() -> PathBuf {
     let test = std::env::current_exe().expect("the path of this test");
     let library = test.with_file_name("libfault_shim.so");
     assert!(library.exists(), "{} is not built", library.display());
     library
 }
 
-/// Sends a signal to a process, by its name without `SIG`, as kill(1) accepts it. Returns when the signal has
-/// been sent; the process may not have handled it yet.
+/// Sends a signal to a process. `name` is the name of the signal without `SIG`, as in kill(1). When the
+/// function returns, the process may not have handled the signal yet.
 ///
 /// # Panics
 ///
--- a/limiter/tests/stubs/limiter_process.rs
+++ b/limiter/tests/stubs/limiter_process.rs
@@ -14,8 +14,8 @@
 
 pub use start::FailedStart;
 
-/// A running limiter with a stub of discovery. Dropping it kills the process; a test
-/// that fails prints the log.
+/// A running limiter with a stub of discovery. Dropping the value kills the process, and prints the log if
+/// the test has failed.
 pub struct LimiterProcess {
     /// Address at which the limiter accepts clients.
     pub addr: SocketAddr,
@@ -28,7 +28,7 @@
 
 /// Configuration, signals and the end of the process.
 impl LimiterProcess {
-    /// Rewrites the configuration file and sends SIGHUP. Returns when the signal has been sent.
+    /// Changes the configuration file with `alter` and sends SIGHUP. Returns when the signal has been sent.
     ///
     /// # Panics
     ///
@@ -55,7 +55,7 @@
         previous
     }
 
-    /// Sends a signal to the process, by its name without `SIG`. See [`send_signal`].
+    /// Sends the process a signal, named without `SIG`. See [`send_signal`].
     pub fn signal(&self, name: &str) {
         send_signal(self.child.id(), name);
     }
@@ -97,17 +97,16 @@
     ///
     /// # Panics
     ///
-    /// Panics as [`LimiterProcess::connect`] and [`send_and_receive`] do.
+    /// Panics if [`LimiterProcess::connect`] or [`send_and_receive`] panics.
     pub fn request(&self, request: &str) -> HttpMessage {
         send_and_receive(&mut self.connect(), request)
     }
 
-    /// Sends idempotent requests, one after another, and asserts that each of them is
-    /// answered with this body.
+    /// Sends idempotent requests, one after another, and asserts that each response has this body.
     ///
     /// # Panics
     ///
-    /// Panics if a response has another body, and as [`LimiterProcess::request`] does.
+    /// Panics if a response has another body, or if [`LimiterProcess::request`] panics.
     pub fn assert_responses(&self, body: &str, num_requests: usize) {
         for _ in 0..num_requests {
             assert_eq!(self.request(&idempotent_request()).body, body);
@@ -115,22 +114,22 @@
     }
 }
 
-/// What a test observes of the limiter.
+/// Observations of the limiter.
 impl LimiterProcess {
-    /// Asks the limiter whether it is ready.
+    /// Returns whether the limiter reports that it is ready.
     ///
     /// # Panics
     ///
-    /// Panics if the status is neither 200 nor 503.
+    /// Panics if the status of the readiness response is neither 200 nor 503.
     pub fn is_ready(&self) -> bool {
         match self.request(READINESS_REQUEST).status {
             200 => true,
             503 => false,
-            status => panic!("readiness has status {status}"),
+            status => panic!("readiness request answered with status {status}"),
         }
     }
 
-    /// Returns when the limiter is ready.
+    /// Waits until the limiter is ready.
     ///
     /// # Panics
     ///
@@ -144,7 +143,7 @@
         self.log.contains(text)
     }
 
-    /// Returns when a line of the log contains this text. Lines of the level `DEBUG` are ignored.
+    /// Waits until a line of the log contains this text. Lines of the level `DEBUG` are ignored.
     ///
     /// # Panics
     ///
@@ -153,13 +152,14 @@
         wait_for(text, || self.has_logged(text));
     }
 
-    /// Returns the largest resident memory that the process has had so far, in KiB.
+    /// Returns the peak resident memory of the process so far, in KiB.
     ///
     /// # Panics
     ///
     /// Panics if the process has exited.
-    pub fn peak_memory_kb(&self) -> u64 {
-        // The shell that set the limit on descriptors has become the limiter, with the same process id.
+    pub fn peak_memory_kib(&self) -> u64 {
+        // The shell that sets the limit on descriptors replaces itself with the limiter, which keeps the
+        // process id.
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id()));
         let status = status.expect("the status of the process");
         let peak = status.lines().find_map(|line| line.strip_prefix("VmHWM:"));
--- a/limiter/tests/stubs/limiter_process/start.rs
+++ b/limiter/tests/stubs/limiter_process/start.rs
@@ -3,14 +3,15 @@
 use std::net::SocketAddr;
 
 use super::super::{
-    complete_list, fault_shim, limiter_command, listening_address, serving, wait_for, write_configuration,
-    Configuration, Endpoint, ProcessLog, StubDiscovery, StubServer, DEFAULT_DESCRIPTOR_LIMIT,
+    complete_list, fault_shim_path, limiter_command, listening_address, serving, wait_for,
+    write_configuration, Configuration, Endpoint, ProcessLog, StubDiscovery, StubServer,
+    DEFAULT_DESCRIPTOR_LIMIT,
 };
 use super::LimiterProcess;
 
 /// The result of a start that failed.
 pub struct FailedStart {
-    /// Exit code of the process. `None` if a signal ended the process.
+    /// Exit code of the process. `None` if a signal terminated the process.
     pub exit_code: Option<i32>,
     /// The text that the process wrote to standard error.
     pub stderr: String,
@@ -18,8 +19,8 @@
 
 /// Functions that start a limiter. `alter` changes the default configuration.
 ///
-/// Each of them panics if the limiter does not listen, or does not reach the state that its description
-/// names, within [`WAIT_TIMEOUT`](crate::stubs::WAIT_TIMEOUT).
+/// Each of them panics if the limiter does not listen, or does not reach the state that the function
+/// documents, within [`WAIT_TIMEOUT`](crate::stubs::WAIT_TIMEOUT).
 impl LimiterProcess {
     /// Starts a limiter in front of one server, s-1, and returns when the limiter is ready.
     pub fn in_front_of(server: &StubServer) -> LimiterProcess {
@@ -49,8 +50,8 @@
         LimiterProcess::start(endpoints, alter, DEFAULT_DESCRIPTOR_LIMIT)
     }
 
-    /// Starts a limiter in front of one server, s-1, with a limit on descriptors that the configuration does
-    /// not tell. Returns when the limiter is ready.
+    /// Starts a limiter in front of one server, s-1, with a limit on descriptors that is set in the operating
+    /// system and not in the configuration. Returns when the limiter is ready.
     pub fn with_os_descriptor_limit(server: &StubServer, descriptor_limit: u32) -> LimiterProcess {
         LimiterProcess::start(&[serving("s-1", server)], |configuration| configuration, descriptor_limit)
     }
@@ -69,7 +70,7 @@
         limiter
     }
 
-    /// Starts a limiter with any stub of discovery, and returns when the limiter listens.
+    /// Starts a limiter with this stub of discovery, and returns when the limiter listens.
     pub fn with_discovery(
         discovery: StubDiscovery,
         alter: impl Fn(Configuration) -> Configuration,
@@ -78,8 +79,8 @@
         LimiterProcess::with_faults(discovery, alter, descriptor_limit, &[])
     }
 
-    /// Starts a limiter whose system calls fail, and returns when the limiter listens. `faults` are variables
-    /// of `fault_shim::plan` and their values.
+    /// Starts a limiter whose system calls fail, and returns when the limiter listens. `faults` contains
+    /// environment variables of `fault_shim::plan` and their values.
     pub fn with_faults(
         discovery: StubDiscovery,
         alter: impl Fn(Configuration) -> Configuration,
@@ -90,9 +91,9 @@
         let configuration = write_configuration(&alter(Configuration::with_discovery_at(&discovery_address)));
         let mut command = limiter_command(&configuration, descriptor_limit);
         if !faults.is_empty() {
-            command.env("LD_PRELOAD", fault_shim()).envs(faults.iter().copied());
+            command.env("LD_PRELOAD", fault_shim_path()).envs(faults.iter().copied());
         }
-        // At the start the variable takes precedence over the file. A reload uses the address of the file.
+        // At the start the variable overrides the file. A reload uses the address in the file.
         command.env("ROUTER_DISCOVERY", discovery_address);
         let mut child = command.spawn().expect("a started process");
         let log = ProcessLog::read_from(child.stderr.take().expect("a piped standard error"));
@@ -100,8 +101,8 @@
         LimiterProcess { addr, discovery, child, log, configuration }
     }
 
-    /// Starts a limiter that must fail to start, and returns when the process has exited. Nothing listens at
-    /// the address of discovery.
+    /// Runs a limiter that is expected to fail during its start, and returns when the process has exited.
+    /// Nothing listens at the address of discovery.
     pub fn fail_to_start(alter: impl Fn(Configuration) -> Configuration) -> FailedStart {
         let configuration = write_configuration(&alter(Configuration::with_discovery_at("127.0.0.1:1")));
         let output = limiter_command(&configuration, DEFAULT_DESCRIPTOR_LIMIT).output();
@@ -112,7 +113,7 @@
     }
 }
 
-/// Returns the listening address of a limiter as soon as its log tells the address.
+/// Waits until the log of a limiter reports the listening address, and returns the address.
 fn wait_for_listening_address(log: &ProcessLog) -> SocketAddr {
     let mut addr = None;
     wait_for("the limiter to listen", || {
--- a/limiter/tests/stubs/mod.rs
+++ b/limiter/tests/stubs/mod.rs
@@ -1,7 +1,7 @@
 //! Stubs of the limiter's surroundings (clients, servers, discovery, a quota owner), and the limiter under
 //! test as a child process.
 //!
-//! Helpers panic if a step fails, so that the test that uses them fails at this step.
+//! A helper panics if one of its steps fails, so that the test fails at that step.
 
 // Each test file is a crate of its own and uses only a part of this module.
 #![allow(dead_code, unused_imports)]
@@ -40,8 +40,8 @@
 use std::sync::{Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 
-/// How long a test waits for an event before it fails. Far longer than any event takes, so that a
-/// busy machine fails no test.
+/// How long a test waits for an event before the test fails. No event takes nearly as long, so that tests
+/// do not fail on a busy machine.
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Time between two checks of [`wait_for`], in milliseconds.
@@ -60,10 +60,10 @@
     }
 }
 
-/// Calls `read` until it is not interrupted, and returns its result.
+/// Calls `read` until no signal interrupts the call, and returns the result.
 ///
 /// A read with a timeout fails with `EINTR` if this process is stopped and continued during the call
-/// (signal(7)), which the machine may do at any time.
+/// (signal(7)), which may happen at any time.
 pub fn retry_on_interrupt<T>(mut read: impl FnMut() -> Result<T>) -> Result<T> {
     loop {
         match read() {
@@ -73,7 +73,7 @@
     }
 }
 
-/// Blocks the calling thread for a time in milliseconds.
+/// Blocks the calling thread for `ms` milliseconds.
 pub fn sleep_ms(ms: u64) {
     std::thread::sleep(Duration::from_millis(ms));
 }
--- a/limiter/tests/stubs/process_log.rs
+++ b/limiter/tests/stubs/process_log.rs
@@ -6,29 +6,30 @@
 
 use super::lock;
 
-/// Text of the log line that tells the listening address, up to the address.
+/// Text that precedes the address in the log line that reports the listening address.
 pub const LISTENING_LOG_PREFIX: &str = "listening address=";
 
-/// The level of lines that a failed test shows, and that no test searches.
-const DETAIL_LEVEL: &str = " DEBUG ";
+/// Level of the lines that a failed test prints but [`ProcessLog::contains`] ignores.
+const DEBUG_LEVEL: &str = " DEBUG ";
 
-/// The log of a process. It grows while the process runs.
+/// The log of a process, which grows while the process runs.
 pub struct ProcessLog(Arc<Mutex<String>>);
 
 impl ProcessLog {
     /// Starts a thread that reads the log of a process until the process exits.
     pub fn read_from(stderr: ChildStderr) -> ProcessLog {
         let log = Arc::new(Mutex::new(String::new()));
-        let written_log = log.clone();
+        let shared_log = log.clone();
         std::thread::spawn(move || {
             for line in BufReader::new(stderr).lines().map_while(Result::ok) {
-                lock(&written_log).push_str(&format!("{line}\n"));
+                lock(&shared_log).push_str(&format!("{line}\n"));
             }
         });
         ProcessLog(log)
     }
 
-    /// Returns the text that was read so far. Empty if a thread panicked while it held the lock.
+    /// Returns the text that has been read so far, or an empty text if a thread panicked while it held the
+    /// lock.
     pub fn text(&self) -> String {
         self.0.lock().map(|log| log.clone()).unwrap_or_default()
     }
@@ -39,11 +40,11 @@
     ///
     /// Panics if a thread panicked while it held the lock.
     pub fn contains(&self, text: &str) -> bool {
-        lock(&self.0).lines().any(|line| !line.contains(DETAIL_LEVEL) && line.contains(text))
+        lock(&self.0).lines().any(|line| !line.contains(DEBUG_LEVEL) && line.contains(text))
     }
 }
 
-/// Returns the listening address that a log tells, or `None` if the process does not listen yet.
+/// Returns the listening address that a log reports, or `None` if the process does not listen yet.
 pub fn listening_address(log: &str) -> Option<&str> {
     let (_, address) = log.lines().find_map(|line| line.split_once(LISTENING_LOG_PREFIX))?;
     Some(address.trim())
--- a/limiter/tests/stubs/quota_owner.rs
+++ b/limiter/tests/stubs/quota_owner.rs
@@ -1,6 +1,6 @@
-//! A stub of a quota owner: a peer that the limiter under test asks for the units of a customer.
+//! A stub of a quota owner: a peer from which the limiter under test requests units of a customer.
 //!
-//! The layout of messages is that of `limiter-core/src/gossip/codec.rs`: a header (magic number, checksum,
+//! Messages have the layout of `limiter-core/src/gossip/codec.rs`: a header (magic number, checksum,
 //! incarnation, latency), then lines, each of which begins with its kind. Numbers are big endian.
 
 use std::net::{SocketAddr, UdpSocket};
@@ -12,11 +12,11 @@
     DEFAULT_CUSTOMER,
 };
 
-/// A customer whose quota is owned by the limiters 1, 2 and 3 of a fleet of four. A member
-/// asks them in this order.
+/// A customer whose quota is owned by the limiters 1, 2 and 3 of a fleet of four. A member sends its quota
+/// requests to the owners in this order.
 pub const CUSTOMER_OF_STUB_OWNER: &str = "00000000b4d65522";
 
-/// Number of limiters in the fleet of the stub.
+/// Number of limiters in the fleet, including the stub.
 const NUM_LIMITERS: usize = 4;
 /// Position of the limiter under test among the limiters.
 const MEMBER_POSITION: usize = 0;
@@ -38,13 +38,13 @@
 const KIND_NOT_GRANTED: u8 = 3;
 
 /// Position of the checksum in a message.
-const CHECKSUM: Range<usize> = 1..3;
+const CHECKSUM_RANGE: Range<usize> = 1..3;
 /// Position of the sender's incarnation in a message.
-const INCARNATION: Range<usize> = 3..7;
+const INCARNATION_RANGE: Range<usize> = 3..7;
 /// Position of the request id in a message whose first line is a quota request.
-const REQUEST_ID: Range<usize> = 9..13;
+const REQUEST_ID_RANGE: Range<usize> = 9..13;
 /// Position of the customer (8 bytes) and the plan (1 byte) in a message whose first line is a quota request.
-const CUSTOMER_AND_PLAN: Range<usize> = 13..22;
+const CUSTOMER_AND_PLAN_RANGE: Range<usize> = 13..22;
 
 /// A gossip message that contains at least one line.
 pub struct GossipMessage(Vec<u8>);
@@ -60,15 +60,16 @@
     }
 }
 
-/// The quota owner that the limiter under test asks first for [`CUSTOMER_OF_STUB_OWNER`].
+/// The quota owner to which the limiter under test sends its first quota request for
+/// [`CUSTOMER_OF_STUB_OWNER`].
 pub struct StubQuotaOwner {
     socket: UdpSocket,
     /// Gossip address of the limiter under test.
     member: SocketAddr,
 }
 
-/// A limiter that is a member of a fleet of four, and the stub of the quota owner that the limiter asks
-/// first. The other two limiters do not exist.
+/// A limiter that is a member of a fleet of four, and the stub of the quota owner to which the limiter sends
+/// its first quota request. The other two limiters do not exist.
 pub struct MemberWithQuotaOwner {
     /// The limiter. Its configuration is that of [`allow_long_pending_requests`].
     pub limiter: LimiterProcess,
@@ -77,8 +78,8 @@
 }
 
 impl MemberWithQuotaOwner {
-    /// Starts the limiter in front of one server, and the stub. `quota` is that of the plan of all requests;
-    /// see [`with_quota`](super::Configuration::with_quota). Returns when the limiter is ready.
+    /// Starts the limiter in front of one server, and the stub. `quota` is the quota of the plan `basic`; see
+    /// [`with_quota`](super::Configuration::with_quota). Returns when the limiter is ready.
     ///
     /// # Panics
     ///
@@ -92,8 +93,8 @@
             sockets.push(socket);
         }
         let socket = sockets.swap_remove(OWNER_POSITION);
-        // Closing the other sockets frees the address of the limiter under test. The two
-        // remaining peers stay silent.
+        // Closing the other sockets frees the address of the limiter under test. The other two peers send
+        // nothing.
         drop(sockets);
         socket.set_read_timeout(Some(RECEIVE_TIMEOUT)).expect("a read timeout");
         let limiter = LimiterProcess::with_server(server, |configuration| {
@@ -111,7 +112,8 @@
 }
 
 impl StubQuotaOwner {
-    /// Waits for a message, for 0.5 s at most. Returns `None` if there is none, or if it contains no line.
+    /// Waits for a message, for 0.5 s at most. Returns `None` if no message arrives, or if the message
+    /// contains no line.
     pub fn receive(&self) -> Option<GossipMessage> {
         let mut buffer = [0; MAX_MESSAGE_BYTES];
         let length = retry_on_interrupt(|| self.socket.recv(&mut buffer)).ok()?;
@@ -126,7 +128,7 @@
     ///
     /// # Panics
     ///
-    /// Panics if there is no message, or if the next message is no quota request.
+    /// Panics if no message arrives, or if the first line of the message is not a quota request.
     pub fn receive_quota_request(&self) -> GossipMessage {
         let message = self.receive().expect("a message");
         assert_eq!(message.first_kind(), KIND_QUOTA_REQUEST, "the message is a quota request");
@@ -153,7 +155,7 @@
     append_grant(&mut message, quota_request);
     append_quota_request(&mut message);
     let checksum = checksum(&message).to_be_bytes();
-    message[CHECKSUM].copy_from_slice(&checksum);
+    message[CHECKSUM_RANGE].copy_from_slice(&checksum);
     message
 }
 
@@ -162,9 +164,9 @@
     let demand_ratio = 0_f32;
     let tokens_left = 1_f32;
     message.push(KIND_GRANTED);
-    message.extend(&quota_request[REQUEST_ID]);
-    message.extend(&quota_request[CUSTOMER_AND_PLAN]);
-    message.extend(&quota_request[INCARNATION]);
+    message.extend(&quota_request[REQUEST_ID_RANGE]);
+    message.extend(&quota_request[CUSTOMER_AND_PLAN_RANGE]);
+    message.extend(&quota_request[INCARNATION_RANGE]);
     message.extend(demand_ratio.to_be_bytes());
     message.extend(tokens_left.to_be_bytes());
 }
@@ -173,7 +175,7 @@
 fn append_quota_request(message: &mut Vec<u8>) {
     let request_id = 9_u32;
     let customer = 0_u64;
-    // Plan 0 is the rejecting plan, which precedes the plan of all requests.
+    // Plan 0 is the rejecting plan, which precedes the plan `basic`.
     let plan = 1_u8;
     let first_member = 0_u16;
     let member_count = 1_u16;
@@ -189,12 +191,12 @@
     message.extend(unreported_units.to_be_bytes());
 }
 
-/// Returns the sum of all bytes but those of the checksum, each multiplied by `2 * position + 3`,
-/// modulo [`CHECKSUM_MODULUS`].
+/// Returns the sum of all bytes except those of the checksum, each multiplied by `2 * position + 3`, modulo
+/// [`CHECKSUM_MODULUS`].
 fn checksum(message: &[u8]) -> u16 {
     let mut sum: u32 = 0;
     for (position, byte) in (0..).zip(message) {
-        let is_part_of_checksum = CHECKSUM.contains(&(position as usize));
+        let is_part_of_checksum = CHECKSUM_RANGE.contains(&(position as usize));
         if !is_part_of_checksum {
             sum += u32::from(*byte) * (2 * position + 3);
         }
--- a/limiter/tests/stubs/server.rs
+++ b/limiter/tests/stubs/server.rs
@@ -7,7 +7,7 @@
 
 use super::{lock, read_message, sleep_ms, wait_for, write_ok, HttpMessage};
 
-/// What a server has received, shared with the threads of its connections.
+/// Requests and connections that a server has received, shared with the threads of its connections.
 #[derive(Default)]
 struct Record {
     requests: Mutex<Vec<HttpMessage>>,
@@ -15,11 +15,11 @@
     num_open_connections: AtomicUsize,
     max_open_connections: AtomicUsize,
     num_closed_connections: AtomicUsize,
-    stops_listening: AtomicBool,
+    stop_requested: AtomicBool,
 }
 
-/// A server whose responses are given by a closure. It serves each connection in a
-/// thread, until the test exits.
+/// A server whose responses are given by a closure. Each connection is served by a thread of its own until
+/// the test exits.
 pub struct StubServer {
     /// Address at which the server listens.
     pub addr: SocketAddr,
@@ -48,7 +48,7 @@
         StubServer::new(move |_, stream| write_ok(stream, &body))
     }
 
-    /// Starts a server that answers each request after a time, with status 200 and this body.
+    /// Starts a server that answers each request after `ms` milliseconds, with status 200 and this body.
     pub fn responding_after_ms(ms: u64, body: &'static str) -> StubServer {
         StubServer::new(move |_, stream| {
             sleep_ms(ms);
@@ -66,27 +66,27 @@
         StubServer::new(|_, stream| ignore_until_closed(stream))
     }
 
-    /// Returns all requests that were received so far, in their order.
+    /// Returns all requests that have been received so far, oldest first.
     pub fn received_requests(&self) -> Vec<HttpMessage> {
         lock(&self.record.requests).clone()
     }
 
-    /// Returns the number of requests that were received so far.
+    /// Returns the number of requests that have been received so far.
     pub fn num_received(&self) -> usize {
         lock(&self.record.requests).len()
     }
 
-    /// Returns the number of requests with this correlation id that were received so far.
+    /// Returns the number of requests with this correlation id that have been received so far.
     pub fn num_received_with_id(&self, id: &str) -> usize {
         lock(&self.record.requests).iter().filter(|request| request.correlation_id() == id).count()
     }
 
-    /// Returns the number of connections that were accepted so far.
+    /// Returns the number of connections that have been accepted so far.
     pub fn num_connections(&self) -> usize {
         self.record.num_connections.load(Ordering::SeqCst)
     }
 
-    /// Returns the largest number of connections that were open at the same time.
+    /// Returns the largest number of connections that have been open at the same time.
     pub fn max_open_connections(&self) -> usize {
         self.record.max_open_connections.load(Ordering::SeqCst)
     }
@@ -112,14 +112,14 @@
         );
     }
 
-    /// Closes the listener. Returns when connections are refused.
+    /// Closes the listener, and returns when new connections are refused.
     ///
     /// # Panics
     ///
     /// Panics if connections are still accepted after [`super::WAIT_TIMEOUT`].
     pub fn stop_listening(&self) {
-        self.record.stops_listening.store(true, Ordering::SeqCst);
-        // The listener sees the flag after its next accept, for which these connects provide.
+        self.record.stop_requested.store(true, Ordering::SeqCst);
+        // The accepting thread checks the flag after each accept, which these connects cause.
         wait_for("the listener to close", || TcpStream::connect(self.addr).is_err());
     }
 }
@@ -130,11 +130,11 @@
     R: Fn(&HttpMessage, &mut TcpStream) -> bool + Send + Sync + 'static,
 {
     for stream in listener.incoming() {
-        if record.stops_listening.load(Ordering::SeqCst) {
+        if record.stop_requested.load(Ordering::SeqCst) {
             return;
         }
         let Ok(stream) = stream else { continue };
-        record.open_connection();
+        record.count_connection();
         let record = record.clone();
         let respond = respond.clone();
         std::thread::spawn(move || record.serve(stream, &*respond));
@@ -142,7 +142,7 @@
 }
 
 impl Record {
-    fn open_connection(&self) {
+    fn count_connection(&self) {
         self.num_connections.fetch_add(1, Ordering::SeqCst);
         let num_open = self.num_open_connections.fetch_add(1, Ordering::SeqCst) + 1;
         self.max_open_connections.fetch_max(num_open, Ordering::SeqCst);
--- a/limiter/tests/stubs/server_with_full_backlog.rs
+++ b/limiter/tests/stubs/server_with_full_backlog.rs
@@ -1,4 +1,4 @@
-//! A stub server on which connections are established only when the test says so.
+//! A stub server on which connections are established only when the test allows it.
 
 use std::io::Read;
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -12,8 +12,8 @@
 /// A connect that takes longer than this shows that the backlog is full.
 const BACKLOG_CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// A server whose backlog is full. Until the server accepts, the kernel ignores the first segment of each
-/// further connect, which the limiter's kernel sends again after 1 s, 2 s and 4 s.
+/// A server whose backlog is full. Until the server accepts connections, its kernel drops the SYN segment of
+/// each further connect, which the kernel of the limiter retransmits after 1 s, 2 s and 4 s.
 pub struct ServerWithFullBacklog {
     /// Address at which the server listens.
     pub addr: SocketAddr,
@@ -23,7 +23,8 @@
 }
 
 impl ServerWithFullBacklog {
-    /// Starts a server and fills its backlog. Returns when a further connect has timed out.
+    /// Starts a server and fills its backlog. Returns when a connect has timed out because the backlog is
+    /// full.
     ///
     /// # Panics
     ///
@@ -39,7 +40,7 @@
     }
 
     /// Closes the connections that fill the backlog, and starts to accept connections and to answer their
-    /// requests. Returns immediately.
+    /// requests. Does not wait for the connections.
     pub fn accept_all(self) -> LateConnections {
         let carried_request = Arc::new(Mutex::new(Vec::new()));
         let late_connections =
@@ -71,44 +72,45 @@
     }
 }
 
-/// Answers each request of a connection. Records whether the connection carried a request, when the first
-/// request or the end of the connection is read.
+/// Answers each request of a connection. As soon as the first request or the end of the connection is read,
+/// records which of the two it was.
 fn serve(mut stream: TcpStream, carried_request: &Mutex<Vec<bool>>) {
-    let mut has_request = receive(&mut stream);
-    lock(carried_request).push(has_request);
-    while has_request {
+    let mut received_request = receive_request(&mut stream);
+    lock(carried_request).push(received_request);
+    while received_request {
         write_ok(&mut stream, RESPONSE_BODY);
-        has_request = receive(&mut stream);
+        received_request = receive_request(&mut stream);
     }
 }
 
-/// Waits for a request, which is expected to be received by one read. Returns false if
-/// the connection is closed.
-fn receive(stream: &mut TcpStream) -> bool {
+/// Waits for a request, which a single read is expected to receive completely. Returns false if the
+/// connection is closed.
+fn receive_request(stream: &mut TcpStream) -> bool {
     let mut buffer = [0; 4096];
     stream.read(&mut buffer).is_ok_and(|length| length > 0)
 }
 
-/// The connections that were established after [`ServerWithFullBacklog::accept_all`], and those
+/// The connections that were established after [`ServerWithFullBacklog::accept_all`], and the connections
 /// that filled the backlog.
 pub struct LateConnections {
     num_in_backlog: usize,
-    /// For each connection on which a request or the end was read: whether it was a request.
+    /// One value for each connection on which a request or the end was read: true for a request.
     carried_request: Arc<Mutex<Vec<bool>>>,
 }
 
 impl LateConnections {
-    /// Returns when a request or the end was read on `count` connections of the limiter, and on all those
-    /// that filled the backlog.
+    /// Waits until a request or the end has been read on `count` connections of the limiter, and on all
+    /// connections that filled the backlog.
     ///
     /// # Panics
     ///
-    /// Panics if there are fewer connections, or more, after [`super::WAIT_TIMEOUT`].
+    /// Panics if the number of these connections does not become exactly this sum within
+    /// [`super::WAIT_TIMEOUT`].
     pub fn wait_for_count(&self, count: usize) {
-        wait_for("the late connections", || self.num_all() == self.num_in_backlog + count);
+        wait_for("the late connections", || self.num_observed() == self.num_in_backlog + count);
     }
 
-    fn num_all(&self) -> usize {
+    fn num_observed(&self) -> usize {
         lock(&self.carried_request).len()
     }
 
@@ -116,10 +118,10 @@
     ///
     /// # Panics
     ///
-    /// Panics if a connection that filled the backlog is still to be read, which
-    /// [`Self::wait_for_count`] excludes.
+    /// Panics if fewer connections have been read than filled the backlog, which is impossible after
+    /// [`Self::wait_for_count`].
     pub fn count(&self) -> usize {
-        self.num_all() - self.num_in_backlog
+        self.num_observed() - self.num_in_backlog
     }
 
     /// Returns the number of connections of the limiter on which a request was read.
