--- a/limiter-core/src/admission/mod.rs
+++ b/limiter-core/src/admission/mod.rs
@@ -62,7 +62,7 @@
 
 /// What admission control has to know about an attempt that has ended.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct EndedAttempt {
+pub(crate) struct AttemptSummary {
     /// How the attempt ended.
     pub outcome: Outcome,
     /// Slots that the attempt occupied until now.
@@ -117,7 +117,7 @@
     }
 
     /// Releases the slots of an attempt that has ended, and measures the attempt.
-    pub fn attempt_ended(&mut self, now: Millis, attempt: &EndedAttempt) {
+    pub fn attempt_ended(&mut self, now: Millis, attempt: &AttemptSummary) {
         self.slot_usage.release(attempt.slots);
         if attempt.outcome == Outcome::Cancelled {
             self.slot_usage.record_cancelled(now, attempt.slots);
--- a/limiter-core/src/admission/signals.rs
+++ b/limiter-core/src/admission/signals.rs
@@ -1,6 +1,6 @@
 //! The smoothed measurements on which the feedback is based.
 
-use super::EndedAttempt;
+use super::AttemptSummary;
 use crate::decay::{DecayingMean, DecayingSum};
 use crate::event::{Millis, Outcome};
 
@@ -61,10 +61,10 @@
     /// Changes the time constant of all measurements.
     fn set_span(&mut self, now: Millis, span_ms: Millis) {
         for mean in [&mut self.local_latency, &mut self.latency, &mut self.rejected] {
-            mean.set_span(now, span_ms);
+            mean.set_time_constant(now, span_ms);
         }
         for sum in [&mut self.completed, &mut self.objectives_ms, &mut self.queued, &mut self.admitted] {
-            sum.set_span(now, span_ms);
+            sum.set_time_constant(now, span_ms);
         }
     }
 
@@ -84,7 +84,7 @@
     }
 
     /// Records the end of an attempt. An attempt that was never executed says nothing about latency.
-    pub fn record_attempt(&mut self, now: Millis, attempt: &EndedAttempt) {
+    pub fn record_attempt(&mut self, now: Millis, attempt: &AttemptSummary) {
         if !attempt.outcome.never_executed() {
             // Clipped: a heavy request or a hung server counts only as a missed objective, so that a few of
             // them cannot throttle all traffic.
--- a/limiter-core/src/admission/slots.rs
+++ b/limiter-core/src/admission/slots.rs
@@ -48,7 +48,7 @@
 
     /// Returns whether so many slots are free. A request always fits while no attempt occupies slots:
     /// otherwise a request that takes more than the slot limit would never be forwarded.
-    pub fn fits(&self, now: Millis, slots: f64) -> bool {
+    pub fn has_free_slots(&self, now: Millis, slots: f64) -> bool {
         self.slot_usage.occupied <= 0.0 || self.slot_usage.in_use(now) + slots <= self.slot_limit.slots()
     }
 
--- a/limiter-core/src/decay.rs
+++ b/limiter-core/src/decay.rs
@@ -40,7 +40,7 @@
     }
 
     /// Changes the time constant and scales the sum so that the rate stays the same.
-    pub fn set_span(&mut self, now: Millis, time_constant_ms: Millis) {
+    pub fn set_time_constant(&mut self, now: Millis, time_constant_ms: Millis) {
         let sum = self.value(now) * time_constant_ms / self.time_constant_ms;
         *self = DecayingSum { sum, updated_at: now, time_constant_ms };
     }
@@ -83,8 +83,8 @@
     }
 
     /// Changes the time constant. The mean stays the same, and the weight of the samples is scaled with it.
-    pub fn set_span(&mut self, now: Millis, time_constant_ms: Millis) {
-        self.sum.set_span(now, time_constant_ms);
-        self.weight.set_span(now, time_constant_ms);
+    pub fn set_time_constant(&mut self, now: Millis, time_constant_ms: Millis) {
+        self.sum.set_time_constant(now, time_constant_ms);
+        self.weight.set_time_constant(now, time_constant_ms);
     }
 }
--- a/limiter-core/src/endpoints/attempts.rs
+++ b/limiter-core/src/endpoints/attempts.rs
@@ -40,7 +40,7 @@
         }
         let Some(record) = self.record_of(attempt) else { return };
         record.in_flight = record.in_flight.saturating_sub(1);
-        let ejection = record.health.record_attempt_end(now, outcome, elapsed_ms, attempt.cancelled);
+        let ejection = record.health.record_attempt_end(now, outcome, elapsed_ms, attempt.timed_out);
         if outcome == Outcome::Ok && !self.responsive.contains(&attempt.server) {
             self.responsive.insert(attempt.server.clone());
         }
--- a/limiter-core/src/lib.rs
+++ b/limiter-core/src/lib.rs
@@ -18,7 +18,7 @@
 //! - **Determinism.** All random numbers come from the seed of a limiter. The same settings, seed, events and
 //!   times lead to the same actions, so that every run can be repeated.
 //! - **Bounded state.** Each request ends by its deadline unless its response has begun to stream, and
-//!   everything else that a limiter holds expires or is bounded by a constant; see [`CacheSizes`].
+//!   everything else that a limiter holds expires or is bounded by a constant; see [`RecordCounts`].
 //!
 //! # Where to begin reading
 //!
@@ -92,5 +92,5 @@
 mod token_bucket;
 
 pub use event::*;
-pub use limiter::{CacheSizes, Limiter};
+pub use limiter::{Limiter, RecordCounts};
 pub use settings::*;
--- a/limiter-core/src/limiter.rs
+++ b/limiter-core/src/limiter.rs
@@ -50,13 +50,13 @@
 /// numbers are bounded by the rate of the events; the retention of quotas also becomes shorter the more
 /// quotas there are. The gossip queue has a fixed bound.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct CacheSizes {
+pub struct RecordCounts {
     /// Quotas of which the limiter is a member.
     pub member_quotas: usize,
     /// Quotas that the limiter owns.
-    pub owner_quotas: usize,
+    pub owned_quotas: usize,
     /// Recent decisions that the limiter has made as an owner: grants and denials.
-    pub grants: usize,
+    pub decisions: usize,
     /// Pending requests.
     pub requests: usize,
     /// Gossip messages that are queued for sending.
@@ -101,7 +101,7 @@
     /// request that has been answered or of an attempt that has ended does nothing when it fires, so the
     /// caller may drop it.
     #[must_use]
-    pub fn is_live(&self, token: TimerToken) -> bool {
+    pub fn is_timer_needed(&self, token: TimerToken) -> bool {
         match token {
             TimerToken::Deadline(id) | TimerToken::LatencyObjective(id) => self.requests.get(id).is_some(),
             TimerToken::SilenceCheck(id) => self.requests.get(id).is_some_and(|pending| pending.is_in_flight),
@@ -121,12 +121,12 @@
 
     /// Returns the number of records that the limiter holds now.
     #[must_use]
-    pub fn cache_sizes(&self) -> CacheSizes {
-        let owned = self.owned_quotas.sizes();
-        CacheSizes {
+    pub fn record_counts(&self) -> RecordCounts {
+        let owned = self.owned_quotas.counts();
+        RecordCounts {
             member_quotas: self.member_quotas.len(),
-            owner_quotas: owned.quotas,
-            grants: owned.decisions,
+            owned_quotas: owned.quotas,
+            decisions: owned.decisions,
             requests: self.requests.pending.len(),
             gossip_messages: self.gossip.len(),
         }
--- a/limiter-core/src/quota/member/grant_replies.rs
+++ b/limiter-core/src/quota/member/grant_replies.rs
@@ -23,7 +23,7 @@
         }
         if let Some(awaited) = pending.awaited_reply.take() {
             if awaited.owner == from {
-                self.member_quotas.reply_wait.record(now - awaited.asked_at);
+                self.member_quotas.reply_wait.record(now - awaited.requested_at);
             }
         }
         pending.admitted_at = now;
@@ -40,15 +40,15 @@
     pub(crate) fn check_grant_reply(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let now = self.context.now;
         let Some(pending) = self.requests.get(id) else { return };
-        let Some(AwaitedReply { owner, asked_at }) = pending.awaited_reply else { return };
+        let Some(AwaitedReply { owner, requested_at }) = pending.awaited_reply else { return };
         // A quota request that is still queued here is no fault of the owner.
         let is_unsent =
             self.is_before_reply_deadline(pending) && self.gossip.has_unsent_quota_request(owner, id);
-        let waiting_since = if is_unsent { now } else { asked_at };
+        let waiting_since = if is_unsent { now } else { requested_at };
         let late_after_ms = self.member_quotas.reply_wait.late_after_ms();
         // The usual wait may have grown since the timer was started. Without another timer a lost reply would
         // never be detected.
-        if is_unsent || now - asked_at < late_after_ms {
+        if is_unsent || now - requested_at < late_after_ms {
             let after_ms = waiting_since + late_after_ms - now + self.context.settings.event_interval_ms;
             out.push(Action::SetTimer { after_ms, token: TimerToken::GrantReply(id) });
             return;
--- a/limiter-core/src/quota/member/grant_requests.rs
+++ b/limiter-core/src/quota/member/grant_requests.rs
@@ -59,7 +59,7 @@
         let now = self.context.now;
         let id = quota_request.id;
         self.member_quotas.owner_health.record_request(now);
-        self.requests.update(id, |pending| pending.await_reply(AwaitedReply { owner, asked_at: now }));
+        self.requests.update(id, |pending| pending.await_reply(AwaitedReply { owner, requested_at: now }));
         let transfer_ms = REPLY_INTERVALS * self.context.settings.event_interval_ms;
         let after_ms = self.member_quotas.reply_wait.late_after_ms() + transfer_ms;
         out.push(Action::SetTimer { after_ms, token: TimerToken::GrantReply(id) });
--- a/limiter-core/src/quota/owner/mod.rs
+++ b/limiter-core/src/quota/owner/mod.rs
@@ -23,7 +23,7 @@
 
 /// How much an owner remembers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) struct OwnedQuotaSizes {
+pub(crate) struct OwnedQuotaCounts {
     /// Number of quotas.
     pub quotas: usize,
     /// Number of recent decisions, grants and denials alike.
@@ -32,8 +32,8 @@
 
 impl OwnedQuotas {
     /// Returns how much this owner remembers.
-    pub fn sizes(&self) -> OwnedQuotaSizes {
-        OwnedQuotaSizes { quotas: self.quotas.len(), decisions: self.decisions.len() }
+    pub fn counts(&self) -> OwnedQuotaCounts {
+        OwnedQuotaCounts { quotas: self.quotas.len(), decisions: self.decisions.len() }
     }
 
     /// Forgets the decision on a request, so that the request is decided on anew if it is made again.
--- a/limiter-core/src/request/attempts.rs
+++ b/limiter-core/src/request/attempts.rs
@@ -1,7 +1,7 @@
 //! Attempts: forwarding a request to a server, and recording how that ended.
 
 use super::retry::PossibleExecution;
-use crate::admission::EndedAttempt;
+use crate::admission::AttemptSummary;
 use crate::endpoints::{AttemptTarget, RecordId, ServerLocation};
 use crate::event::{Action, Millis, Outcome, RequestId, ServerId};
 use crate::limiter::Limiter;
@@ -35,7 +35,7 @@
     /// Whether this limiter cancelled the attempt because no response arrived in time: after a silence check,
     /// or at the end of its request. The outcome [`Outcome::Cancelled`] then counts as a timeout of the
     /// server.
-    pub cancelled: bool,
+    pub timed_out: bool,
 }
 
 /// The end of an attempt, as reported by the program.
@@ -82,7 +82,7 @@
             sent_at: self.context.now,
             slots,
             class,
-            cancelled: false,
+            timed_out: false,
         };
         self.requests.attempts.insert(key, attempt);
     }
@@ -90,7 +90,7 @@
     /// Cancels an attempt that has received no response in time.
     pub(super) fn cancel_unanswered_attempt(&mut self, key: AttemptKey, out: &mut Vec<Action>) {
         if let Some(attempt) = self.requests.attempts.get_mut(&key) {
-            attempt.cancelled = true;
+            attempt.timed_out = true;
         }
         out.push(Action::CancelAttempt { id: key.request, attempt: key.number });
     }
@@ -119,7 +119,8 @@
         let now = self.context.now;
         let outcome = end.outcome;
         let objective_ms = self.context.settings.classes[attempt.class].latency_objective_ms;
-        let ended = EndedAttempt { outcome, slots: attempt.slots, objective_ms, elapsed_ms: end.elapsed_ms };
+        let ended =
+            AttemptSummary { outcome, slots: attempt.slots, objective_ms, elapsed_ms: end.elapsed_ms };
         self.admission.attempt_ended(now, &ended);
         self.endpoints.attempt_ended(now, &attempt, outcome, end.elapsed_ms);
         let Some(pending) = self.requests.get_mut(end.key.request) else { return };
--- a/limiter-core/src/request/pending.rs
+++ b/limiter-core/src/request/pending.rs
@@ -10,7 +10,7 @@
     /// Position of the owner that the quota request was sent to.
     pub owner: u32,
     /// When the quota request was sent.
-    pub asked_at: Millis,
+    pub requested_at: Millis,
 }
 
 /// A request that has no final response yet.
--- a/limiter-core/src/request/queue.rs
+++ b/limiter-core/src/request/queue.rs
@@ -60,7 +60,7 @@
     fn try_forward(&mut self, id: RequestId, out: &mut Vec<Action>) -> bool {
         let Some(pending) = self.requests.pending.get_mut(&id) else { return true };
         let slots = self.admission.slots_for(pending.request.cost_units);
-        let has_free_slots = self.admission.fits(self.context.now, slots);
+        let has_free_slots = self.admission.has_free_slots(self.context.now, slots);
         let server = if has_free_slots { self.endpoints.pick(&mut self.context, pending) } else { None };
         pending.is_queued = server.is_none();
         let Some(server) = server else { return false };
--- a/limiter-core/src/request/timeouts.rs
+++ b/limiter-core/src/request/timeouts.rs
@@ -120,7 +120,7 @@
         let objective_ms = self.context.class(&pending.request).latency_objective_ms;
         let min_elapsed_ms = objective_ms * SILENCE_CHECK_FRACTION - TIMER_TOLERANCE_MS;
         let elapsed_ms = self.context.now - attempt.sent_at;
-        let is_due = elapsed_ms >= min_elapsed_ms && !attempt.cancelled;
+        let is_due = elapsed_ms >= min_elapsed_ms && !attempt.timed_out;
         is_due.then_some(key)
     }
 
--- a/limiter-core/src/rules/attempts.rs
+++ b/limiter-core/src/rules/attempts.rs
@@ -14,7 +14,7 @@
     AnotherInFlight,
     /// The response has begun to stream to the client.
     #[error("the response has begun")]
-    ResponseBegun,
+    ResponseStarted,
     /// The deadline of the request has passed.
     #[error("the deadline has passed")]
     DeadlinePassed,
@@ -29,7 +29,7 @@
     MayHaveExecuted,
     /// The request may have been executed, and servers no longer drop its duplicates.
     #[error("the deduplication window has ended")]
-    DedupWindowOver,
+    DedupWindowExpired,
     /// The server is draining or removed, or has been replaced since it was chosen.
     #[error("the server does not accept requests")]
     NotServing,
@@ -50,11 +50,11 @@
 /// Checks that executing a request now cannot have its effect twice.
 ///
 /// # Errors
-/// Returns [`AttemptDenied::MayHaveExecuted`] or [`AttemptDenied::DedupWindowOver`].
+/// Returns [`AttemptDenied::MayHaveExecuted`] or [`AttemptDenied::DedupWindowExpired`].
 pub fn may_execute(facts: ExecutionFacts) -> Result<(), AttemptDenied> {
     match facts.idempotency {
         Idempotency::NonIdempotent if facts.may_have_executed => Err(AttemptDenied::MayHaveExecuted),
-        Idempotency::WithKey if facts.dedup_ends_in_ms <= 0.0 => Err(AttemptDenied::DedupWindowOver),
+        Idempotency::WithKey if facts.dedup_ends_in_ms <= 0.0 => Err(AttemptDenied::DedupWindowExpired),
         _ => Ok(()),
     }
 }
@@ -87,7 +87,7 @@
         return Err(AttemptDenied::AnotherInFlight);
     }
     if facts.is_streaming {
-        return Err(AttemptDenied::ResponseBegun);
+        return Err(AttemptDenied::ResponseStarted);
     }
     if facts.has_no_value {
         return Err(AttemptDenied::NoValueLeft);
@@ -126,7 +126,7 @@
         return Err(AttemptDenied::NotServing);
     }
     if facts.begin_within_ms < 0.0 {
-        return Err(AttemptDenied::DedupWindowOver);
+        return Err(AttemptDenied::DedupWindowExpired);
     }
     if facts.deadline_in_ms <= 0.0 {
         return Err(AttemptDenied::DeadlinePassed);
--- a/limiter-core/src/rules/shutdown.rs
+++ b/limiter-core/src/rules/shutdown.rs
@@ -12,9 +12,9 @@
 #[derive(Debug, Clone, Copy)]
 pub struct ShutdownFacts {
     /// Time in milliseconds since the signal.
-    pub signalled_for_ms: Millis,
+    pub since_signal_ms: Millis,
     /// Time in milliseconds since the listener was closed; none while it is open.
-    pub closed_for_ms: Option<Millis>,
+    pub since_listener_close_ms: Option<Millis>,
     /// Whether the process has to wait for any connection, see
     /// [`super::ClientConnectionFacts::blocks_shutdown`].
     pub has_blocking_connection: bool,
@@ -25,7 +25,7 @@
 #[must_use]
 pub fn may_exit(facts: &ShutdownFacts) -> bool {
     let has_read_last_accepted =
-        facts.closed_for_ms.is_some_and(|closed_ms| closed_ms >= LAST_ACCEPTED_READ_MS);
+        facts.since_listener_close_ms.is_some_and(|closed_ms| closed_ms >= LAST_ACCEPTED_READ_MS);
     let is_finished = has_read_last_accepted && !facts.has_blocking_connection;
-    is_finished || facts.signalled_for_ms >= MAX_SHUTDOWN_MS
+    is_finished || facts.since_signal_ms >= MAX_SHUTDOWN_MS
 }
--- a/limiter-core/tests/common/test_limiter.rs
+++ b/limiter-core/tests/common/test_limiter.rs
@@ -68,7 +68,7 @@
 
     /// Returns the number of timers that still have a purpose.
     pub fn num_live_timers(&self) -> usize {
-        self.timers.iter().filter(|timer| self.limiter.is_live(timer.token)).count()
+        self.timers.iter().filter(|timer| self.limiter.is_timer_needed(timer.token)).count()
     }
 
     /// Advances the clock. The timers that become due fire in the order of their times.
@@ -78,7 +78,7 @@
         while let Some(timer) = self.next_timer(end) {
             self.now = self.now.max(timer.due_at);
             // A caller may drop a timer that is not live, so such a timer must have no effect.
-            let is_live = self.limiter.is_live(timer.token);
+            let is_live = self.limiter.is_timer_needed(timer.token);
             let effects = self.handle(Event::TimerFired { token: timer.token });
             assert!(is_live || effects.is_empty(), "a timer that was not live led to {effects:?}");
             actions.extend(effects);
--- a/limiter-core/tests/gossip_messages.rs
+++ b/limiter-core/tests/gossip_messages.rs
@@ -147,6 +147,6 @@
     for peer in 1..PEERS {
         limiter.receive_gossip(peer, poll.clone());
     }
-    let num_queued = limiter.limiter.cache_sizes().gossip_messages;
+    let num_queued = limiter.limiter.record_counts().gossip_messages;
     assert!((1..=256).contains(&num_queued), "{num_queued} messages are queued");
 }
--- a/limiter-core/tests/quota_owner.rs
+++ b/limiter-core/tests/quota_owner.rs
@@ -113,20 +113,20 @@
 fn a_flood_of_new_customers_keeps_memory_bounded_and_renews_no_quota() {
     const SECONDS: u32 = 60;
     let mut flood = CustomerFlood::new();
-    let mut max_sizes = flood.limiter.cache_sizes();
+    let mut max_counts = flood.limiter.record_counts();
     for step in 0..SECONDS * CustomerFlood::STEPS_PER_S {
         flood.step();
-        let sizes = flood.limiter.cache_sizes();
-        max_sizes.member_quotas = max_sizes.member_quotas.max(sizes.member_quotas);
-        max_sizes.owner_quotas = max_sizes.owner_quotas.max(sizes.owner_quotas);
-        max_sizes.grants = max_sizes.grants.max(sizes.grants);
-        assert_eq!(sizes.requests, 0, "at step {step}");
+        let counts = flood.limiter.record_counts();
+        max_counts.member_quotas = max_counts.member_quotas.max(counts.member_quotas);
+        max_counts.owned_quotas = max_counts.owned_quotas.max(counts.owned_quotas);
+        max_counts.decisions = max_counts.decisions.max(counts.decisions);
+        assert_eq!(counts.requests, 0, "at step {step}");
     }
     // Beyond 10,000 quotas the retention becomes shorter as their number grows.
-    assert!(max_sizes.member_quotas <= 26_000, "{max_sizes:?}");
-    assert!(max_sizes.owner_quotas <= 26_000, "{max_sizes:?}");
+    assert!(max_counts.member_quotas <= 26_000, "{max_counts:?}");
+    assert!(max_counts.owned_quotas <= 26_000, "{max_counts:?}");
     // 1,020 requests per second, whose decisions are retained for about 10 s at most.
-    assert!(max_sizes.grants <= 10 * 1020, "{max_sizes:?}");
+    assert!(max_counts.decisions <= 10 * 1020, "{max_counts:?}");
     // A burst of 12 units, and 6 units per second.
     let quota = 12 + 6 * SECONDS;
     assert!(flood.greedy_units <= quota, "{} units of one customer", flood.greedy_units);
--- a/limiter-core/tests/rules.rs
+++ b/limiter-core/tests/rules.rs
@@ -63,12 +63,12 @@
     let keyed = ExecutionFacts { idempotency: Idempotency::WithKey, dedup_ends_in_ms: 0.0, ..executed };
     for (facts, denied) in [
         (AttemptFacts { has_attempt_in_flight: true, ..FIRST_ATTEMPT }, AttemptDenied::AnotherInFlight),
-        (AttemptFacts { is_streaming: true, ..FIRST_ATTEMPT }, AttemptDenied::ResponseBegun),
+        (AttemptFacts { is_streaming: true, ..FIRST_ATTEMPT }, AttemptDenied::ResponseStarted),
         (AttemptFacts { deadline_in_ms: 0.0, ..FIRST_ATTEMPT }, AttemptDenied::DeadlinePassed),
         (AttemptFacts { attempts: 3, ..FIRST_ATTEMPT }, AttemptDenied::AttemptsExhausted),
         (AttemptFacts { has_no_value: true, ..FIRST_ATTEMPT }, AttemptDenied::NoValueLeft),
         (AttemptFacts { execution: executed, ..FIRST_ATTEMPT }, AttemptDenied::MayHaveExecuted),
-        (AttemptFacts { execution: keyed, ..FIRST_ATTEMPT }, AttemptDenied::DedupWindowOver),
+        (AttemptFacts { execution: keyed, ..FIRST_ATTEMPT }, AttemptDenied::DedupWindowExpired),
     ] {
         assert_eq!(may_attempt(&facts), Err(denied));
     }
@@ -82,18 +82,21 @@
     assert_eq!(may_send(&SendFacts { is_client_waiting: false, ..facts }), Err(AttemptDenied::NotPending));
     assert_eq!(may_send(&SendFacts { is_serving: false, ..facts }), Err(AttemptDenied::NotServing));
     let too_late = SendFacts { begin_within_ms: -1.0, ..facts };
-    assert_eq!(may_send(&too_late), Err(AttemptDenied::DedupWindowOver));
+    assert_eq!(may_send(&too_late), Err(AttemptDenied::DedupWindowExpired));
     assert_eq!(may_send(&SendFacts { deadline_in_ms: 0.0, ..facts }), Err(AttemptDenied::DeadlinePassed));
 }
 
 #[test]
 fn a_process_exits_once_all_requests_are_answered_or_after_20_s() {
-    let finished =
-        ShutdownFacts { signalled_for_ms: 900.0, closed_for_ms: Some(60.0), has_blocking_connection: false };
+    let finished = ShutdownFacts {
+        since_signal_ms: 900.0,
+        since_listener_close_ms: Some(60.0),
+        has_blocking_connection: false,
+    };
     assert!(may_exit(&finished));
     assert!(!may_exit(&ShutdownFacts { has_blocking_connection: true, ..finished }));
-    assert!(!may_exit(&ShutdownFacts { closed_for_ms: None, ..finished }));
-    assert!(!may_exit(&ShutdownFacts { closed_for_ms: Some(10.0), ..finished }));
-    let stuck = ShutdownFacts { signalled_for_ms: 21_000.0, has_blocking_connection: true, ..finished };
+    assert!(!may_exit(&ShutdownFacts { since_listener_close_ms: None, ..finished }));
+    assert!(!may_exit(&ShutdownFacts { since_listener_close_ms: Some(10.0), ..finished }));
+    let stuck = ShutdownFacts { since_signal_ms: 21_000.0, has_blocking_connection: true, ..finished };
     assert!(may_exit(&stuck));
 }
--- a/limiter/src/engine/dispatch.rs
+++ b/limiter/src/engine/dispatch.rs
@@ -43,7 +43,7 @@
     fn drop_stale_timers(&mut self) -> bool {
         let State { limiter, timers, pending, .. } = self;
         timers.drop_stale(|kind| match kind {
-            TimerKind::Decision(token) => limiter.is_live(token),
+            TimerKind::Decision(token) => limiter.is_timer_needed(token),
             TimerKind::AttemptTimeout(id) => pending.is_in_flight(id),
             TimerKind::Deadline(id) => pending.contains(id),
         })
--- a/limiter/src/frontend/shutdown.rs
+++ b/limiter/src/frontend/shutdown.rs
@@ -70,8 +70,8 @@
             NextStep::ShutDownConnections | NextStep::CloseListener { .. } => None,
         };
         ShutdownFacts {
-            signalled_for_ms: elapsed_ms(self.signalled_at),
-            closed_for_ms: closed_at.map(elapsed_ms),
+            since_signal_ms: elapsed_ms(self.signalled_at),
+            since_listener_close_ms: closed_at.map(elapsed_ms),
             has_blocking_connection: connections.blocks_shutdown(),
         }
     }
