--- a/limiter-core/src/context.rs
+++ b/limiter-core/src/context.rs
@@ -1,4 +1,4 @@
-//! What every part of a limiter uses: the settings, the current time and the random numbers.
+//! The state that all modules of a limiter use: the settings, the current time and the random numbers.
 
 use crate::event::{Millis, Request};
 use crate::settings::{Plan, RequestClass, Settings};
@@ -12,15 +12,15 @@
     pub now: Millis,
     /// When this limiter started.
     pub started_at: Millis,
-    /// Distinguishes the starts of a limiter in gossip messages: the low 32 bits of `started_at`. The caller
-    /// must never start the limiter at the same position twice with the same value.
+    /// Identifies this run of the limiter in gossip messages: the low 32 bits of `started_at`. The caller
+    /// must never start a limiter at the same position twice with the same value.
     pub incarnation: u32,
-    /// The source of all random draws. The same seed and the same events therefore lead to the same actions.
+    /// Generates all random numbers, so that the same seed and the same events lead to the same actions.
     ///
-    /// Draws are made to shed requests (`quota/member/shedding.rs`), to admit requests without an owner
-    /// (`quota/member/fallback.rs`), to choose between servers (`endpoints/routing.rs`), to begin a slow
-    /// start (`endpoints/slow_start.rs`) and to choose a peer to poll (`endpoints/tombstone_gossip.rs`). The
-    /// order of the draws must not depend on the iteration order of a hash table: collections that are
+    /// Random numbers are drawn to shed requests (`quota/member/shedding.rs`), to admit requests without an
+    /// owner (`quota/member/fallback.rs`), to choose between servers (`endpoints/routing.rs`), to begin a
+    /// slow start (`endpoints/slow_start.rs`) and to choose a peer to poll (`endpoints/tombstone_gossip.rs`).
+    /// The order of the draws must not depend on the iteration order of a hash table: collections that are
     /// iterated over are ordered.
     pub rng: fastrand::Rng,
 }
--- a/limiter-core/src/decay.rs
+++ b/limiter-core/src/decay.rs
@@ -1,18 +1,18 @@
 //! Sums and means of samples whose weight decays exponentially with their age.
 //!
-//! A sample of age `t` counts `exp(-t / time_constant)` times. The sums are brought up to date when they are
-//! read or changed, so that no timer is needed and an idle sum costs nothing.
+//! A sample of age `t` has the weight `exp(-t / time_constant)`. The decay of a sum is computed when the sum
+//! is read or changed, so that no timer is needed and an idle sum costs nothing.
 
 use crate::event::Millis;
 
 /// A sum of amounts that decays exponentially.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct DecayingSum {
-    /// The sum as of `updated_at`.
+    /// The sum at the time `updated_at`.
     sum: f64,
     /// Time of the last change.
     updated_at: Millis,
-    /// Time in milliseconds in which an amount decays to 1/e.
+    /// Time in milliseconds in which an amount decays to 1/e of its value.
     time_constant_ms: Millis,
 }
 
@@ -33,8 +33,8 @@
         self.sum * (-(now - self.updated_at) / self.time_constant_ms).exp()
     }
 
-    /// Returns the estimated amount per second: a steady rate gives a sum of the rate times the time
-    /// constant.
+    /// Returns the estimated amount per second. If amounts are added at a constant rate, the sum approaches
+    /// the rate times the time constant.
     pub fn rate(&self, now: Millis) -> f64 {
         self.value(now) * 1000.0 / self.time_constant_ms
     }
@@ -46,8 +46,9 @@
     }
 }
 
-/// Total weight of the samples that a [`DecayingMean`] must exceed to have a value: half of a new sample. The
-/// mean of a single sample therefore has a value until 0.69 time constants after the sample was added.
+/// Total weight that the samples of a [`DecayingMean`] must exceed for the mean to have a value: half the
+/// weight of a new sample. The mean of a single sample therefore has a value until 0.69 time constants after
+/// the sample was added.
 const MIN_SAMPLE_WEIGHT: f64 = 0.5;
 
 /// The mean of samples whose weight decays exponentially.
@@ -82,7 +83,8 @@
         }
     }
 
-    /// Changes the time constant. The mean stays the same, and the weight of the samples is scaled with it.
+    /// Changes the time constant. The mean stays the same, and the weight of the samples is scaled by the
+    /// same factor as the time constant.
     pub fn set_time_constant(&mut self, now: Millis, time_constant_ms: Millis) {
         self.sum.set_time_constant(now, time_constant_ms);
         self.weight.set_time_constant(now, time_constant_ms);
--- a/limiter-core/src/dispatch.rs
+++ b/limiter-core/src/dispatch.rs
@@ -1,22 +1,22 @@
-//! Routes each event to the part that decides, and runs the periodic control step.
+//! Dispatches each event to its handler, and runs the periodic control step.
 
 use crate::admission::CONTROL_STEP_MS;
 use crate::event::{Action, Event, Millis, TimerToken};
 use crate::limiter::Limiter;
 use crate::request::{AttemptEnd, AttemptKey};
 
-/// Time in milliseconds since the last control step after which the process counts as having stalled. Control
-/// steps follow each other every [`CONTROL_STEP_MS`], so a longer pause means that several of them are late.
-const STALL_MS: Millis = 500.0;
+/// Time in milliseconds since the last control step after which the process is considered to have stalled. A
+/// control step is due every [`CONTROL_STEP_MS`], so a longer gap means that several of them are late.
+const STALL_THRESHOLD_MS: Millis = 500.0;
 
 impl Limiter {
     /// Handles an event that is delivered at the time `now`, and appends the resulting actions to `out`. The
-    /// caller has to execute the actions in their order.
+    /// caller has to execute the actions in this order.
     ///
-    /// A time before that of an earlier event counts as the time of that event.
+    /// If `now` is before the time of an earlier event, the event is handled at that later time.
     pub fn handle(&mut self, now: Millis, event: Event, out: &mut Vec<Action>) {
         self.advance_clock(now);
-        self.start_if_first_event(out);
+        self.start_on_first_event(out);
         match event {
             Event::EndpointsChanged { complete, endpoints } => {
                 self.on_endpoints_changed(complete, &endpoints, out);
@@ -39,18 +39,18 @@
         }
     }
 
-    /// Advances the current time, and records the end of a stall of the process.
+    /// Advances the current time, and records when the process resumed if it had stalled.
     fn advance_clock(&mut self, now: Millis) {
         self.context.now = self.context.now.max(now);
         let since_last_step_ms = self.context.now - self.last_step_at;
-        if since_last_step_ms > STALL_MS {
+        if since_last_step_ms > STALL_THRESHOLD_MS {
             self.resumed_at = self.context.now;
         }
     }
 
-    /// With the first event, starts the control steps and subscribes to the endpoint list where that is
-    /// required.
-    fn start_if_first_event(&mut self, out: &mut Vec<Action>) {
+    /// Starts the control steps and, if the settings require a subscription, subscribes to the endpoint list.
+    /// Does so with the first event only.
+    fn start_on_first_event(&mut self, out: &mut Vec<Action>) {
         if self.is_started {
             return;
         }
@@ -83,9 +83,9 @@
     /// of admission control, the queue, the log of ejections, and the expiry of quota records.
     ///
     /// The order matters: the feedback reads the measurements with the time constant of this step, and the
-    /// queue is drained against the slow start budgets and the slot limit of this step. Polls and the queue
-    /// draw random numbers and append actions, so that another order would also change every run with the
-    /// same seed.
+    /// queue is drained under the slow start budgets and the slot limit of this step. The polls and the queue
+    /// draw random numbers and append actions, so any other order would also change the actions that a seed
+    /// leads to.
     fn control_step(&mut self, out: &mut Vec<Action>) {
         let now = self.context.now;
         self.last_step_at = now;
--- a/limiter-core/src/event/action.rs
+++ b/limiter-core/src/event/action.rs
@@ -1,8 +1,8 @@
-//! What a limiter asks its caller to do.
+//! Actions: what a limiter asks its caller to do.
 
 use super::{Millis, RequestId, ServerId, TimerToken};
 
-/// Something that the caller has to do. Actions are executed in the order in which they are returned.
+/// Something that the caller has to do. The caller executes actions in the order in which they are returned.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
     /// Forward a request to a server, as its next attempt.
@@ -11,9 +11,9 @@
         id: RequestId,
         /// The server to forward the request to.
         server: ServerId,
-        /// Time in milliseconds from now after which the attempt must not begin any more, however long it
-        /// takes to open a connection: servers drop the duplicates of a request with an idempotency key for a
-        /// limited time only. Infinite if there is no such bound.
+        /// Time in milliseconds from now within which the attempt has to begin, including the time to open a
+        /// connection: servers drop the duplicates of a request with an idempotency key for a limited time
+        /// only. Infinite if there is no such limit.
         begin_within_ms: Millis,
     },
     /// Cancel an attempt in flight.
@@ -27,7 +27,7 @@
     Reject {
         /// The request to reject.
         id: RequestId,
-        /// Time in milliseconds after which the client should retry; 0 for no advice.
+        /// Time in milliseconds after which the client should retry; 0 if the response advises no time.
         retry_after_ms: Millis,
     },
     /// Send the final response: an error that does not say whether the request was executed.
@@ -60,7 +60,7 @@
 pub enum EjectionReason {
     /// Too many responses of the server were errors.
     Errors,
-    /// Several consecutive attempts at the server had no response.
+    /// Several consecutive attempts at the server received no response.
     NoResponse,
 }
 
--- a/limiter-core/src/event/endpoint.rs
+++ b/limiter-core/src/event/endpoint.rs
@@ -13,9 +13,9 @@
 pub enum EndpointState {
     /// The server accepts requests.
     Serving,
-    /// The server completes its requests in progress. No new request may be sent to the server.
+    /// The server completes its requests in progress and accepts no new ones.
     Draining,
-    /// The server has been withdrawn.
+    /// The server has been removed from the endpoint list.
     Removed,
 }
 
@@ -28,12 +28,12 @@
     pub zone: u32,
     /// Cell of the server.
     pub cell: u32,
-    /// Whether the server accepts requests.
+    /// Whether the server accepts requests, is draining or has been removed.
     pub state: EndpointState,
     /// Capacity of the server relative to the other servers.
     pub weight: f64,
-    /// When the server last started, in milliseconds of the clock of discovery; 0 if that was long ago. The
-    /// offset between that clock and the clock of the events is arbitrary. The time therefore only
+    /// When the server last started, in milliseconds of the clock of discovery; 0 if the server started long
+    /// ago. The offset between this clock and the clock of the events is unknown. The time therefore only
     /// distinguishes one start of the server from another, and shows how long before or after other servers
     /// the server started.
     pub started_at: Millis,
--- a/limiter-core/src/event/mod.rs
+++ b/limiter-core/src/event/mod.rs
@@ -1,7 +1,7 @@
-//! What enters and leaves a limiter: events, actions and timers, as plain data.
+//! The input and the output of a limiter as plain data: events, actions and timers.
 //!
-//! All times are milliseconds of one clock that never goes back, unless a field says otherwise. All costs are
-//! quota units.
+//! All times are milliseconds of one monotonic clock, unless a field says otherwise. All costs are in quota
+//! units.
 
 mod action;
 mod endpoint;
@@ -15,7 +15,7 @@
 pub use request::{CustomerId, Outcome, Request, RequestId};
 pub use timer::TimerToken;
 
-/// A moment or a duration in milliseconds.
+/// A point in time or a duration, in milliseconds.
 pub type Millis = f64;
 
 /// Something that has happened and that a limiter has to handle.
@@ -23,7 +23,7 @@
 pub enum Event {
     /// Discovery has announced servers.
     EndpointsChanged {
-        /// Whether the endpoints are the complete list. Otherwise, they are those that have changed.
+        /// Whether the endpoints are the complete list. Otherwise, only those that have changed are listed.
         complete: bool,
         /// The announced servers.
         endpoints: Arc<[Endpoint]>,
@@ -64,10 +64,10 @@
         /// The request of that client.
         id: RequestId,
     },
-    /// The limiter shuts down. Pending requests and those that still arrive have to be answered by the
-    /// deadline.
+    /// The process has begun to shut down. Pending requests and requests that arrive during the shutdown must
+    /// be answered by the deadline.
     ShutdownStarted {
-        /// When the last response has to be given.
+        /// Time by which the last response must be sent.
         deadline: Millis,
     },
     /// A timer has fired.
--- a/limiter-core/src/event/request.rs
+++ b/limiter-core/src/event/request.rs
@@ -21,13 +21,14 @@
     /// Time in milliseconds from the arrival of the request to the timeout of the client.
     pub timeout_ms: Millis,
     /// Time in milliseconds from the arrival of the request to this event. The request may have been
-    /// pipelined and have waited for an earlier one of its connection, or the process may have stalled.
+    /// pipelined and had to wait for an earlier request on its connection, or the process may have stalled.
     pub waited_ms: Millis,
     /// Cost of the request in quota units, declared by the client or estimated.
     pub cost_units: f64,
     /// Number of limiters that receive requests of this customer. These are the members of its quota.
     pub member_count: u32,
-    /// Position of the first member. The other members follow in the ring of positions.
+    /// Position of the first member. The other members have the next positions; position 0 follows the last
+    /// position.
     pub first_member: u32,
 }
 
@@ -53,7 +54,7 @@
 }
 
 impl Outcome {
-    /// Returns whether the outcome proves that the server did not execute the request.
+    /// Returns whether the outcome proves that no server executed the request in this attempt.
     #[must_use]
     pub fn never_executed(self) -> bool {
         matches!(self, Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent)
--- a/limiter-core/src/event/timer.rs
+++ b/limiter-core/src/event/timer.rs
@@ -1,4 +1,4 @@
-//! The token by which a limiter recognizes a timer that it has started.
+//! The token by which a limiter identifies a timer that it has started.
 
 use std::cmp::Ordering;
 
@@ -13,21 +13,22 @@
     Deadline(RequestId),
     /// The latency objective of a request has passed.
     LatencyObjective(RequestId),
-    /// The server of an attempt is checked for having been silent since the attempt was sent.
+    /// The silence check of an attempt is due: whether the server of the attempt has responded to anything
+    /// since the attempt was sent.
     SilenceCheck(RequestId),
-    /// The reply of a quota owner is checked for being late.
+    /// The reply check of a quota request is due: whether the reply of the quota owner is late.
     GrantReply(RequestId),
-    /// The send allowance covers another gossip message.
+    /// The send allowance permits another gossip message.
     GossipFlush,
 }
 
 /// Number of low bits of an encoded token that hold its kind. The bits above hold the id of the request.
 const KIND_BITS: u32 = 3;
-/// Selects the bits of the kind in an encoded token.
+/// Mask of the bits that hold the kind of an encoded token.
 const KIND_MASK: u64 = (1 << KIND_BITS) - 1;
 
-/// Kinds of tokens in their encoded form. Timers of the same moment fire in the order of the encoded tokens,
-/// so these numbers must not change.
+/// Kinds of tokens in their encoded form. Timers that are due at the same time fire in the order of their
+/// encoded tokens, so these numbers must not change.
 mod kind {
     pub(super) const CONTROL_STEP: u64 = 0;
     pub(super) const DEADLINE: u64 = 1;
@@ -51,7 +52,7 @@
         }
     }
 
-    /// Decodes a number that [`TimerToken::encode`] returned. Returns none for any other number.
+    /// Decodes a number that [`TimerToken::encode`] returned. Returns `None` for any other number.
     #[must_use]
     pub fn decode(encoded: u64) -> Option<TimerToken> {
         let id = RequestId::try_from(encoded >> KIND_BITS).ok()?;
@@ -72,7 +73,7 @@
     u64::from(id) << KIND_BITS | kind
 }
 
-/// Tokens have the order of their encoded form. Timers of the same moment fire in this order.
+/// Orders tokens by their encoded form. Timers that are due at the same time fire in this order.
 impl Ord for TimerToken {
     fn cmp(&self, other: &Self) -> Ordering {
         self.encode().cmp(&other.encode())
--- a/limiter-core/src/hashing.rs
+++ b/limiter-core/src/hashing.rs
@@ -1,4 +1,5 @@
-//! Hash functions on whose results all limiters agree, without any exchange and also after a restart.
+//! Hash functions that give the same results at every limiter, also after a restart. Limiters that use them
+//! agree without exchanging messages.
 
 use std::hash::Hasher;
 
@@ -9,16 +10,17 @@
 /// Multiplier of Fibonacci hashing: 2^64 divided by the golden ratio.
 const FIBONACCI_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// Low bits of a limiter's score that rendezvous hashing ignores: the multiplication mixes these least.
-/// Limiters whose scores differ in these bits alone are ordered by their positions.
+/// Number of low bits of a hash that rendezvous hashing ignores, because the multiplication mixes them least.
+/// Limiters whose hashes differ in these bits alone are ordered by their positions.
 const IGNORED_LOW_BITS: u32 = 8;
 
-/// Spreads a number evenly over the high bits of the result (Fibonacci hashing).
+/// Returns the Fibonacci hash of a number, whose high bits are distributed evenly.
 pub(crate) fn fibonacci_hash(value: u64) -> u64 {
     value.wrapping_mul(FIBONACCI_MULTIPLIER)
 }
 
-/// Returns the hash of one start of a server: of the server's id and announced start time (FNV-1a).
+/// Returns the FNV-1a hash of the id and the announced start time of a server. A server that restarts gets
+/// another hash.
 pub(crate) fn endpoint_hash(endpoint: &Endpoint) -> u64 {
     let mut hasher = FnvHasher::default();
     hasher.write(endpoint.server.as_bytes());
@@ -27,22 +29,22 @@
 }
 
 /// Returns the rank, from 0, of the limiter at `position` among `limiters` limiters by rendezvous hashing:
-/// the number of limiters with a lower score under this key. Every limiter finds the same ranks.
+/// the number of limiters with a lower score for this key. Every limiter computes the same ranks.
 pub(crate) fn rendezvous_rank(key: u64, position: u32, limiters: u32) -> usize {
     let local_score = rendezvous_score(key, position);
     (0..limiters).filter(|other| rendezvous_score(key, *other) < local_score).count()
 }
 
-/// What rendezvous hashing orders the limiters by.
+/// The score by which rendezvous hashing orders the limiters.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct RendezvousScore {
-    /// High bits of the hash of key and position.
+    /// High bits of the hash of the key and the position.
     hash: u64,
-    /// Breaks ties.
+    /// Position of the limiter, which orders limiters with the same hash.
     position: u32,
 }
 
-/// Returns the score of the limiter at a position under a key.
+/// Returns the score of the limiter at a position for a key.
 fn rendezvous_score(key: u64, position: u32) -> RendezvousScore {
     let mut hasher = FnvHasher::with_key(key);
     hasher.write(&position.to_be_bytes());
--- a/limiter-core/src/lib.rs
+++ b/limiter-core/src/lib.rs
@@ -1,33 +1,34 @@
 //! The decisions of a gateway that admits requests by customer quotas and forwards them to a shared back end.
 //!
 //! The gateway runs as many instances, called limiters. Each of them decides which requests to admit, which
-//! server receives each request, and whether a request is retried. The limiters share the quotas of the
-//! customers by gossip. This crate holds these decisions and nothing else: the program `limiter` connects
-//! them to sockets, and `simulator-adapter` connects them to a simulator.
+//! server receives each request, and whether a request is retried. The limiters enforce the quotas of the
+//! customers together and exchange gossip messages for this purpose. This crate contains these decisions and
+//! no input or output: the program `limiter` connects them to sockets, and `simulator-adapter` connects them
+//! to a simulator.
 //!
 //! # Model
 //!
 //! - **Events in, actions out.** [`Limiter::handle`] takes one [`Event`] with the time at which it is
 //!   delivered, and appends [`Action`]s for the caller to execute. The caller reports the effects of the
 //!   actions as further events: the end of an attempt, a timer that has fired.
-//! - **No input or output.** There is no clock, thread, socket, file or shared state inside. Time passes only
-//!   by the times of the events.
+//! - **No input or output.** The crate uses no clock, thread, socket, file or shared state. Time advances
+//!   only with the times of the events.
 //! - **Control step.** Every 100 ms, a timer triggers the periodic work: slow start, polls of peers while
 //!   discovery does not answer, the feedback of admission control, the queue, the log of ejections, and the
 //!   expiry of records. All other decisions are made when an event requires them.
-//! - **Determinism.** All random numbers come from the seed of a limiter. The same settings, seed, events and
-//!   times lead to the same actions, so that every run can be repeated.
+//! - **Determinism.** All random numbers are generated from the seed of a limiter. The same settings, seed,
+//!   events and times lead to the same actions, so that every run can be reproduced.
 //! - **Bounded state.** Each request ends by its deadline unless its response has begun to stream, and
-//!   everything else that a limiter holds expires or is bounded by a constant; see [`RecordCounts`].
+//!   all other records of a limiter expire or are bounded by a constant; see [`RecordCounts`].
 //!
 //! # Where to begin reading
 //!
-//! 1. [`Event`] and [`Action`]: what enters and leaves a limiter (`event/`).
-//! 2. `dispatch.rs`: which part handles which event.
+//! 1. [`Event`] and [`Action`]: the input and the output of a limiter (`event/`).
+//! 2. `dispatch.rs`: which module handles which event.
 //! 3. `request/mod.rs`: the path of a request through a limiter.
-//! 4. [`rules`]: whether something may be sent, repeated, closed or ended.
-//! 5. The parts that a request passes: `quota/` (quotas over all limiters), `admission/` (slots and their
-//!    feedback), `endpoints/` (choice and health of servers), `gossip/` (messages between limiters).
+//! 4. [`rules`]: whether a request may be sent or executed again, a connection closed, or the process ended.
+//! 5. The modules that a request passes through: `quota/` (quotas over all limiters), `admission/` (slots and
+//!    their feedback), `endpoints/` (choice and health of servers), `gossip/` (messages between limiters).
 //!
 //! # Example
 //!
@@ -67,7 +68,7 @@
 //! limiter.handle(5.0, Event::RequestArrived(request), &mut actions);
 //! assert!(actions.iter().any(|action| matches!(action, Action::Forward { id: 1, .. })));
 //!
-//! // Settings that cannot be served are rejected, and the error names the value.
+//! // Invalid settings are rejected, and the error names the value.
 //! let error = Limiter::new(Settings { limiters: 0, ..settings }, 42, 0.0).unwrap_err();
 //! assert_eq!(error, SettingsError::LimiterCount(0));
 //! # Ok::<(), SettingsError>(())
--- a/limiter-core/src/limiter.rs
+++ b/limiter-core/src/limiter.rs
@@ -1,4 +1,5 @@
-//! The limiter: the state of all parts that decide. The event dispatch in `dispatch.rs` connects the parts.
+//! The state of a limiter. The modules of this crate implement the decisions on this state, and `dispatch.rs`
+//! passes each event to the module that handles it.
 
 use crate::admission::Admission;
 use crate::context::Context;
@@ -32,9 +33,9 @@
     pub(crate) gossip: GossipQueue,
     /// The announced servers.
     pub(crate) endpoints: Endpoints,
-    /// Servers that drain or have been removed, as reported to peers.
+    /// The servers that are draining or were removed recently, as reported to peers.
     pub(crate) tombstones: Tombstones,
-    /// When the last response has to be given; infinite until the shutdown starts.
+    /// Time by which the last response must be sent; infinite until the shutdown starts.
     pub(crate) shutdown_deadline: Millis,
     /// Whether a gossip message has shown that a peer serves requests.
     pub(crate) has_serving_peer: bool,
@@ -46,9 +47,9 @@
     pub(crate) is_started: bool,
 }
 
-/// The number of records that a limiter holds. Requests end and the records of quotas expire, so that their
-/// numbers are bounded by the rate of the events; the retention of quotas also becomes shorter the more
-/// quotas there are. The gossip queue has a fixed bound.
+/// Number of records of each kind that a limiter holds. Requests end and the records of quotas expire, so the
+/// rate of events bounds their numbers; the more quotas there are, the shorter each is retained. The gossip
+/// queue has a fixed bound.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RecordCounts {
     /// Quotas of which the limiter is a member.
@@ -67,7 +68,7 @@
     /// Creates a limiter that starts at the time `now` and draws its random numbers from `seed`.
     ///
     /// # Errors
-    /// Returns the first of the settings that cannot be served.
+    /// Returns an error that names the first invalid setting.
     pub fn new(settings: Settings, seed: u64, now: Millis) -> Result<Self, SettingsError> {
         settings.validate()?;
         Ok(Limiter {
@@ -88,18 +89,18 @@
         })
     }
 
-    /// Sets the wall clock at the start of the limiter, in Unix milliseconds. The limiter needs the wall
-    /// clock to estimate how long ago servers started, and has no such estimate without it. The wall clock
-    /// may be wrong by as much as clocks are ever stepped.
+    /// Sets the wall clock at the start of the limiter, in Unix milliseconds. The limiter uses the wall clock
+    /// to estimate how long ago servers started. Without a wall clock, the estimate is based on the announced
+    /// start times alone. The estimate allows for clocks that were stepped, see `endpoints/start_times.rs`.
     #[must_use]
     pub fn with_wall_clock(mut self, unix_ms: Millis) -> Self {
         self.endpoints.set_wall_clock(self.context.now, unix_ms);
         self
     }
 
-    /// Returns whether a timer still has a purpose. The timer of a request that has finished, of a quota
-    /// request that has been answered or of an attempt that has ended does nothing when it fires, so the
-    /// caller may drop it.
+    /// Returns whether a timer may still have an effect when it fires. The caller may drop any other timer:
+    /// that of a request that has finished, of a quota request that has been answered, or of an attempt that
+    /// has ended.
     #[must_use]
     pub fn is_timer_needed(&self, token: TimerToken) -> bool {
         match token {
@@ -112,14 +113,14 @@
         }
     }
 
-    /// Returns how many records of servers routing and the control step have examined so far. Tests use this
-    /// number to bound the cost of servers that the limiter does not send requests to.
+    /// Returns the number of server records that routing and the control step have examined so far. Tests use
+    /// the number to check that servers to which the limiter sends no requests cost next to nothing.
     #[must_use]
     pub fn num_endpoints_examined(&self) -> u64 {
         self.endpoints.num_examined()
     }
 
-    /// Returns the number of records that the limiter holds now.
+    /// Returns the number of records of each kind that the limiter holds now.
     #[must_use]
     pub fn record_counts(&self) -> RecordCounts {
         let owned = self.owned_quotas.counts();
--- a/limiter-core/src/readiness.rs
+++ b/limiter-core/src/readiness.rs
@@ -1,12 +1,12 @@
-//! When a limiter that has just started may receive clients.
+//! Readiness: when a limiter that has just started may receive requests from clients.
 
 use crate::event::Millis;
 use crate::limiter::Limiter;
 use crate::quota::GRANT_VALIDITY_MS;
 use crate::settings::Plan;
 
-/// Longest time in milliseconds for which readiness waits for the ceilings to fill. Bounds how long a
-/// deployment without any other limiter stays unavailable.
+/// Longest time in milliseconds for which a limiter waits for its ceilings to fill before it is ready. Bounds
+/// how long a deployment without any other limiter stays unavailable.
 const MAX_CEILING_FILL_MS: Millis = 5000.0;
 
 impl Limiter {
@@ -14,25 +14,26 @@
     ///
     /// The token buckets of the ceilings that this limiter owns start as if spent, because an earlier
     /// incarnation of the limiter may have spent them. The limiter is ready when these buckets have filled.
-    /// The limiter is ready at once if a peer serves requests already, because the deployment is then short
-    /// of this limiter, or if limiters cannot gossip.
+    /// The limiter is ready immediately if a peer already serves requests, because the running deployment
+    /// then lacks this limiter, or if the settings do not allow gossip.
     #[must_use]
     pub fn is_ready(&self, now: Millis) -> bool {
         let age_ms = now - self.context.started_at;
         self.has_serving_peer
             || !self.context.settings.can_gossip
-            || age_ms >= self.longest_ceiling_fill_ms().min(MAX_CEILING_FILL_MS)
+            || age_ms >= self.max_ceiling_fill_ms().min(MAX_CEILING_FILL_MS)
     }
 
     /// Returns the time in milliseconds from the start of this limiter until all its ceilings have filled.
-    fn longest_ceiling_fill_ms(&self) -> Millis {
+    fn max_ceiling_fill_ms(&self) -> Millis {
         let plans_with_ceiling = self.context.settings.plans.iter().filter(|plan| plan.has_ceiling());
         plans_with_ceiling.map(ceiling_fill_ms).fold(0.0, f64::max)
     }
 }
 
-/// Returns the time in milliseconds from the start of a limiter until the ceiling of a plan has filled: the
-/// grants of the earlier incarnation expire, and the bucket fills from its overdrawn state.
+/// Returns the time in milliseconds from the start of a limiter until the ceiling of a plan has filled. The
+/// bucket refills only after the grants of the earlier incarnation have expired, and starts overdrawn by the
+/// slack.
 fn ceiling_fill_ms(plan: &Plan) -> Millis {
     GRANT_VALIDITY_MS + 1000.0 * (plan.ceiling_burst + plan.ceiling_slack) / plan.ceiling_rate
 }
--- a/limiter-core/src/settings/mod.rs
+++ b/limiter-core/src/settings/mod.rs
@@ -1,4 +1,4 @@
-//! The settings of a limiter, and the check that rejects values that cannot be served.
+//! The settings of a limiter, and their validation.
 
 mod plan;
 mod request_class;
@@ -13,7 +13,7 @@
 /// Settings of one limiter. They do not change while the limiter runs.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Settings {
-    /// Number of limiters of the deployment.
+    /// Number of limiters in the deployment.
     pub limiters: u32,
     /// Position of this limiter among the limiters of the deployment, from 0.
     pub position: u32,
@@ -23,31 +23,31 @@
     pub classes: Vec<RequestClass>,
     /// The plans of the customers. A request refers to its plan by the index in this list.
     pub plans: Vec<Plan>,
-    /// Shortest time in milliseconds between two deliveries of events to the limiter. A timer may therefore
-    /// fire late by this time.
+    /// Shortest time in milliseconds between two deliveries of events to the limiter. A timer may fire up to
+    /// this much late.
     pub event_interval_ms: Millis,
     /// Largest number of attempts for one request, including the first.
     pub max_attempts: u32,
-    /// Time in milliseconds after which a connection that is not established counts as failed. Used by the
-    /// program alone: no decision depends on this time.
+    /// Time in milliseconds after which an attempt to connect to a server fails. Only the program uses this
+    /// timeout: no decision in this crate depends on the value.
     pub connect_timeout_ms: Millis,
     /// Whether gossip messages may be sent to other limiters.
     pub can_gossip: bool,
     /// Whether attempts in flight may be cancelled.
     pub can_cancel: bool,
-    /// Whether rejected clients may be sent a time after which to retry.
+    /// Whether a rejection may tell the client when to retry.
     pub can_send_retry_after: bool,
-    /// Number of gossip messages a second that one limiter accepts.
+    /// Number of gossip messages per second that one limiter accepts.
     pub gossip_messages_per_s: f64,
     /// Whether the limiter has to subscribe to the endpoint list. Otherwise, the list is pushed to the
     /// limiter.
     pub must_subscribe: bool,
-    /// Smallest capacity of a server that has just started, as a fraction of its full capacity.
+    /// Capacity that a server has at least when it starts, as a fraction of its full capacity.
     pub cold_capacity_fraction: f64,
-    /// Time in milliseconds after its start at which a server has reached its full capacity.
+    /// Duration of slow start in milliseconds: a server has its full capacity at this time after its start.
     pub slow_start_ms: Millis,
-    /// Load that makes a server fail during slow start, as a multiple of its capacity at the time. The load
-    /// has to last for `overload_ms`.
+    /// Load that makes a server fail during slow start if the load lasts for `overload_ms`, as a multiple of
+    /// the capacity that the server has at that time.
     pub overload_factor: f64,
     /// Time in milliseconds for which an overload has to last to make a server fail during slow start.
     pub overload_ms: Millis,
--- a/limiter-core/src/settings/plan.rs
+++ b/limiter-core/src/settings/plan.rs
@@ -5,13 +5,13 @@
 /// A plan: the quotas that each of its customers has, over all limiters together.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Plan {
-    /// Rate quota in units a second; 0 for no rate quota.
+    /// Rate quota in units per second; 0 for no rate quota.
     pub rate: f64,
     /// Capacity of the token bucket of the rate quota, in units.
     pub burst: f64,
-    /// Largest number of attempts in flight; 0 for no such quota.
+    /// Quota of attempts in flight; 0 for no such quota.
     pub max_in_flight: u32,
-    /// Rate of the hard ceiling in units a second; 0 for no ceiling.
+    /// Rate of the hard ceiling in units per second; 0 for no ceiling.
     pub ceiling_rate: f64,
     /// Capacity of the token bucket of the ceiling, in units.
     pub ceiling_burst: f64,
@@ -39,8 +39,8 @@
     }
 }
 
-/// Returns the time in milliseconds in which a bucket of a capacity fills at a rate in units a second, or 0
-/// without a rate.
+/// Returns the time in milliseconds in which an empty token bucket fills at a rate in units per second; 0 if
+/// the rate is 0.
 fn fill_ms(capacity: f64, rate: f64) -> Millis {
     if rate > 0.0 {
         1000.0 * capacity / rate
--- a/limiter-core/src/settings/request_class.rs
+++ b/limiter-core/src/settings/request_class.rs
@@ -1,4 +1,4 @@
-//! Request classes: the latency objective and the idempotency that requests share.
+//! Request classes: which latency objective and which idempotency requests have.
 
 use crate::event::Millis;
 
@@ -14,7 +14,7 @@
     NonIdempotent,
 }
 
-/// The servers that share a record of the idempotency keys they have seen.
+/// The servers that share a record of the idempotency keys that they have received.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DedupScope {
     /// All servers share one record.
@@ -25,7 +25,7 @@
     Cell,
 }
 
-/// A class of requests that share a latency objective and an idempotency.
+/// A class of requests with the same latency objective and the same idempotency.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RequestClass {
     /// Time in milliseconds within which a response has its full value.
--- a/limiter-core/src/settings/validation.rs
+++ b/limiter-core/src/settings/validation.rs
@@ -1,7 +1,7 @@
-//! Which settings can be served.
+//! Validation of the settings.
 //!
-//! Decisions divide by some settings and rely on the range of others. All values are checked once, when a
-//! limiter is created, so that no decision has to check them.
+//! Decisions divide by some settings and rely on the range of others. All values are validated once, when a
+//! limiter is created, so that no decision has to check them again.
 
 use super::{Plan, RequestClass, Settings};
 
@@ -10,14 +10,14 @@
 /// Largest number of plans: an index has to fit into 8 bits of a gossip message.
 const MAX_PLANS: usize = 255;
 
-/// The first value of the settings that cannot be served.
+/// The first invalid value of the settings.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 pub enum SettingsError {
     /// The number of limiters is 0 or too large.
-    #[error("limiters must be 1 to {MAX_LIMITERS}, but is {0}")]
+    #[error("the number of limiters must be 1 to {MAX_LIMITERS}, but is {0}")]
     LimiterCount(u32),
-    /// The position of the limiter is not below the number of limiters.
-    #[error("position {position} is not below limiters {limiters}")]
+    /// The position of the limiter is not less than the number of limiters.
+    #[error("position {position} must be less than the number of limiters, which is {limiters}")]
     Position {
         /// The configured position.
         position: u32,
@@ -28,7 +28,7 @@
     #[error("max_attempts must be 1 or more, but is 0")]
     NoAttempts,
     /// The number of plans is too large.
-    #[error("plans must be {MAX_PLANS} at most, but are {0}")]
+    #[error("the number of plans must be {MAX_PLANS} at most, but is {0}")]
     PlanCount(usize),
     /// A time, a rate or a factor is negative or not finite.
     #[error("{name} {value} is not a {kind} of 0 or more")]
@@ -49,18 +49,18 @@
         value: f64,
     },
     /// The class at this index has a latency objective of 0, or a value that is negative or not finite.
-    #[error("class {0} has a latency objective, deduplication window or late value that cannot be served")]
+    #[error("class {0} has an invalid latency objective, deduplication window or late value")]
     Class(usize),
     /// The plan at this index has a rate or an amount that is negative or not finite.
-    #[error("plan {0} has a negative or infinite rate or amount")]
+    #[error("plan {0} has a rate or an amount that is negative or not finite")]
     Plan(usize),
 }
 
 impl Settings {
-    /// Checks every value that the decisions depend on.
+    /// Validates every setting that decisions depend on.
     ///
     /// # Errors
-    /// Returns the first value that cannot be served.
+    /// Returns the first invalid value.
     pub fn validate(&self) -> Result<(), SettingsError> {
         if self.plans.len() > MAX_PLANS {
             return Err(SettingsError::PlanCount(self.plans.len()));
@@ -84,41 +84,41 @@
         }
     }
 
-    /// Checks the times, rates, factors and fractions.
+    /// Validates the times, rates, factors and fractions.
     fn validate_amounts(&self) -> Result<(), SettingsError> {
-        check_amount("event_interval_ms", "time", self.event_interval_ms)?;
-        check_amount("slow_start_ms", "time", self.slow_start_ms)?;
-        check_amount("overload_ms", "time", self.overload_ms)?;
-        check_fraction("cold_capacity_fraction", self.cold_capacity_fraction)?;
-        check_amount("overload_factor", "factor", self.overload_factor)?;
-        check_amount("gossip_messages_per_s", "rate", self.gossip_messages_per_s)
+        validate_amount("event_interval_ms", "time", self.event_interval_ms)?;
+        validate_amount("slow_start_ms", "time", self.slow_start_ms)?;
+        validate_amount("overload_ms", "time", self.overload_ms)?;
+        validate_fraction("cold_capacity_fraction", self.cold_capacity_fraction)?;
+        validate_amount("overload_factor", "factor", self.overload_factor)?;
+        validate_amount("gossip_messages_per_s", "rate", self.gossip_messages_per_s)
     }
 }
 
 impl RequestClass {
-    /// Returns whether the latency objective is positive and all amounts can be served.
+    /// Returns whether the latency objective is positive and all amounts are valid.
     fn is_valid(&self) -> bool {
         let amounts = [self.latency_objective_ms, self.dedup_window_ms, self.late_value];
-        self.latency_objective_ms > 0.0 && amounts.into_iter().all(is_amount)
+        self.latency_objective_ms > 0.0 && amounts.into_iter().all(is_valid_amount)
     }
 }
 
 impl Plan {
-    /// Returns whether all rates and amounts can be served.
+    /// Returns whether all rates and amounts are valid.
     fn is_valid(&self) -> bool {
         let amounts = [self.rate, self.burst, self.ceiling_rate, self.ceiling_burst, self.ceiling_slack];
-        amounts.into_iter().all(is_amount)
+        amounts.into_iter().all(is_valid_amount)
     }
 }
 
-/// Returns whether a value is finite and not negative.
-fn is_amount(value: f64) -> bool {
+/// Returns whether a value is valid as an amount: finite and not negative.
+fn is_valid_amount(value: f64) -> bool {
     value.is_finite() && value >= 0.0
 }
 
 /// Checks that a setting is finite and not negative.
-fn check_amount(name: &'static str, kind: &'static str, value: f64) -> Result<(), SettingsError> {
-    if is_amount(value) {
+fn validate_amount(name: &'static str, kind: &'static str, value: f64) -> Result<(), SettingsError> {
+    if is_valid_amount(value) {
         Ok(())
     } else {
         Err(SettingsError::NotAnAmount { name, kind, value })
@@ -126,8 +126,8 @@
 }
 
 /// Checks that a setting is between 0 and 1.
-fn check_fraction(name: &'static str, value: f64) -> Result<(), SettingsError> {
-    if is_amount(value) && value <= 1.0 {
+fn validate_fraction(name: &'static str, value: f64) -> Result<(), SettingsError> {
+    if is_valid_amount(value) && value <= 1.0 {
         Ok(())
     } else {
         Err(SettingsError::NotAFraction { name, value })
--- a/limiter-core/src/token_bucket.rs
+++ b/limiter-core/src/token_bucket.rs
@@ -1,19 +1,19 @@
-//! The token bucket that quotas, ceilings, slow start and the gossip allowance share.
+//! The token bucket that quotas, ceilings, slow start and the send allowance of gossip use.
 
 use crate::event::Millis;
 
-/// A number of tokens that grows with time. Rate and capacity are passed with each refill because most
-/// callers compute them from settings or measurements that change.
+/// A token bucket. The rate and the capacity are arguments of each refill, because most callers compute them
+/// from settings or from measurements that change.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct TokenBucket {
     /// Tokens in the bucket; negative after an overdraft.
     pub level: f64,
-    /// Time up to which tokens have been added.
+    /// Time up to which tokens have been added. A bucket whose time lies in the future does not refill yet.
     pub refilled_at: Millis,
 }
 
 impl TokenBucket {
-    /// Returns a bucket with `level` tokens, to be refilled for the time from `now` on.
+    /// Returns a bucket with `level` tokens, which refills from the time `now` on.
     pub fn new(level: f64, now: Millis) -> Self {
         TokenBucket { level, refilled_at: now }
     }
