--- a/limiter-core/src/endpoints/attempts.rs
+++ b/limiter-core/src/endpoints/attempts.rs
@@ -1,8 +1,8 @@
-//! What the start, the end and the timeout of an attempt change in the records of servers.
+//! Updates of the server records when an attempt starts, ends or times out.
 //!
-//! An attempt refers to the record of its server by id. A server may be removed, or removed and announced
-//! again, while the attempt is in flight: the end of the attempt then changes no record, because the new
-//! record has another id.
+//! An attempt refers to the record of its server by the id of the record. A server may be removed, or removed
+//! and announced again, while the attempt is in flight: the end of the attempt then changes no record,
+//! because the new record has another id.
 
 use super::record::{EndpointRecord, RecordId, ServerLocation};
 use super::registry::Endpoints;
@@ -41,27 +41,28 @@
         let Some(record) = self.record_of(attempt) else { return };
         record.in_flight = record.in_flight.saturating_sub(1);
         let ejection = record.health.record_attempt_end(now, outcome, elapsed_ms, attempt.timed_out);
-        if outcome == Outcome::Ok && !self.responsive.contains(&attempt.server) {
-            self.responsive.insert(attempt.server.clone());
+        if outcome == Outcome::Ok && !self.responders.contains(&attempt.server) {
+            self.responders.insert(attempt.server.clone());
         }
         self.log_ejection(&attempt.server, ejection);
     }
 
-    /// Records that an attempt got no response in time. The attempt itself stays in flight.
+    /// Records that an attempt received no response in time. The attempt itself stays in flight.
     pub(crate) fn record_timeout(&mut self, now: Millis, attempt: &AttemptRecord) {
         let Some(record) = self.record_of(attempt) else { return };
         let ejection = record.health.record_timeout(now);
         self.log_ejection(&attempt.server, ejection);
     }
 
-    /// Returns the record to which an attempt was sent, or `None` if that has been removed.
+    /// Returns the record of the server that an attempt was sent to, or `None` if that record has been
+    /// removed.
     fn record_of(&mut self, attempt: &AttemptRecord) -> Option<&mut EndpointRecord> {
         self.by_id.get_mut(&attempt.server).filter(|record| record.id == attempt.record)
     }
 
-    /// Returns the usual latency of a server if the server has not responded to anything after the time
-    /// `since`, and `None` if it has or is not announced. A server that was removed and announced again
-    /// counts by its new record.
+    /// Returns the usual latency of a server that has not responded to any attempt since the time `since`.
+    /// Returns `None` if the server has responded since then, or is not announced. For a server that was
+    /// removed and announced again, the new record is used.
     pub(crate) fn latency_if_silent(&self, now: Millis, server: &ServerId, since: Millis) -> Option<Millis> {
         let health = &self.by_id.get(server)?.health;
         if health.last_response_at < since {
@@ -71,7 +72,7 @@
         }
     }
 
-    /// Adds an ejection to those to be logged, if there was one.
+    /// Adds an ejection, if there was one, to the ejections that have to be logged.
     fn log_ejection(&mut self, server: &ServerId, ejection: Option<EjectionReason>) {
         if let Some(reason) = ejection {
             self.ejection_log.record(server, reason);
--- a/limiter-core/src/endpoints/ejection_log.rs
+++ b/limiter-core/src/endpoints/ejection_log.rs
@@ -1,4 +1,4 @@
-//! Ejections that the operators have not been notified of yet.
+//! Ejections that have not been logged yet.
 
 use std::collections::BTreeMap;
 
@@ -11,7 +11,7 @@
 }
 
 impl EjectionLog {
-    /// Records an ejection. An earlier one of the same server is replaced.
+    /// Records an ejection. Replaces an earlier ejection of the same server.
     pub fn record(&mut self, server: &ServerId, reason: EjectionReason) {
         self.unlogged.insert(server.clone(), reason);
     }
--- a/limiter-core/src/endpoints/latency.rs
+++ b/limiter-core/src/endpoints/latency.rs
@@ -2,8 +2,8 @@
 
 use crate::event::Millis;
 
-/// A latency smoothed over the responses. The first response sets the value, each further one moves it by a
-/// fixed fraction of the difference.
+/// Moving average of the latencies of responses. The first response sets the value. Each further response
+/// moves the value toward its own latency, by a fixed fraction of the difference.
 #[derive(Debug)]
 pub(super) struct SmoothedLatency {
     latency_ms: Millis,
@@ -12,7 +12,7 @@
 }
 
 impl SmoothedLatency {
-    /// Returns the latency before any response.
+    /// Creates the average before the first response.
     pub fn new(newest_weight: f64) -> Self {
         SmoothedLatency { latency_ms: 0.0, newest_weight }
     }
@@ -23,7 +23,7 @@
         self.latency_ms += weight * (elapsed_ms - self.latency_ms);
     }
 
-    /// Returns whether a response has been recorded that took any time.
+    /// Returns whether a response with a latency above 0 has been recorded.
     pub fn is_measured(&self) -> bool {
         self.latency_ms > 0.0
     }
--- a/limiter-core/src/endpoints/mod.rs
+++ b/limiter-core/src/endpoints/mod.rs
@@ -1,26 +1,27 @@
-//! The announced servers: which one gets an attempt, which are ejected, and which are in slow start.
+//! The announced servers: which one receives an attempt, which are ejected, and which are in slow start.
 //!
-//! **What happens to an announcement.** Discovery announces either all servers or those that changed.
+//! **How an announcement is applied.** Discovery announces either all servers or those that changed.
 //! `announcements` passes the list to the registry ([`Endpoints`]). The registry first records the start
 //! times, then removes the servers that a complete list does not name, and then applies the entries in the
 //! order of the list: removed servers are removed, all others are installed or updated. A server whose start
-//! is announced for the first time begins a slow start, unless it is known to have started long ago. Draining
-//! and removed servers leave a tombstone, which is sent to peers that discovery does not answer. Finally,
-//! queued requests are forwarded if a server may have them now.
+//! is announced for the first time begins a slow start, unless it is known to have started long ago. Next, a
+//! tombstone is recorded for each server that is draining or was removed; peers that are cut off from
+//! discovery poll for these tombstones. Finally, queued requests are forwarded if a server may receive them
+//! now.
 //!
-//! **What happens to an attempt whose server is removed.** The attempt stays in flight, and its response
-//! counts. Its end frees its slots and counts in the baseline latency of all servers, but changes no record:
-//! the record was removed, and if the server has been announced again, it has a new record with another id. A
-//! silence check that is due while the server is not announced does nothing, because there is no latency to
-//! compare with, and no other check follows. If the server has been announced again by then, the check
-//! compares with the latency of the new record and may cancel the attempt, but that timeout does not count
-//! against the new record either.
+//! **What happens to an attempt whose server is removed.** The attempt stays in flight, and its response is
+//! used. The end of the attempt releases its slots, and the latency of a good response is added to the
+//! baseline latency of all servers. No record changes: the record of the server was removed, and if the
+//! server has been announced again, it has a new record with another id. A silence check that is due while
+//! the server is not announced does nothing, because there is no latency to compare with, and no other check
+//! of the attempt follows. If the server has been announced again by then, the check uses the latency of the
+//! new record and may cancel the attempt, but this timeout does not count against the new record either.
 //!
 //! An attempt whose server is draining, or restarts under the same id without being removed, is treated like
-//! any other: the server has the same record, and the end of the attempt counts for that record. Only new
-//! attempts are sent elsewhere.
+//! any other: the server keeps its record, and the end of the attempt updates that record. A draining server
+//! receives no new attempts.
 //!
-//! **Which file holds what:**
+//! **Files:**
 //!
 //! | file | contents |
 //! | --- | --- |
@@ -29,14 +30,14 @@
 //! | `record` | the record of one server; fingerprints |
 //! | `ring` | the order in which a limiter visits the servers |
 //! | `routing` | the choice of a server: subset, predicted latency, zone, deduplication scope |
-//! | `attempts` | what the start, the end and the timeout of an attempt change |
-//! | `outlier` | the health of a server; when a server is ejected, or passed over as full or unresponsive |
+//! | `attempts` | updates of the records when an attempt starts, ends or times out |
+//! | `outlier` | the health of a server; when it is ejected, or skipped as at capacity or unresponsive |
 //! | `latency` | smoothed latency, of one server and of all |
-//! | `ejection_log` | ejections that the operators have not been notified of |
-//! | `start_times` | how long ago a server started, in spite of wall clocks that are stepped |
+//! | `ejection_log` | ejections that have not been logged yet |
+//! | `start_times` | estimates of how long ago a server started, which tolerate steps of the wall clocks |
 //! | `slow_start` | the budget of one server in slow start; the warming set |
 //! | `slow_start_index`, `slow_start_upkeep` | which servers are in slow start; their periodic refills |
-//! | `throughput` | the measured throughput of a warm server, which guides the budgets |
+//! | `throughput` | the measured throughput of a warm server, from which the budgets are computed |
 //! | `tombstones`, `tombstone_gossip` | servers that departed recently, and their exchange with peers |
 
 mod announcements;
--- a/limiter-core/src/endpoints/outlier.rs
+++ b/limiter-core/src/endpoints/outlier.rs
@@ -1,15 +1,16 @@
 //! Outlier detection: the health of a server as observed by this limiter, and when the server is ejected.
 //!
-//! Errors and timeouts eject a server for a time that doubles with each ejection, up to a bound, until the
-//! server gives a good response after an ejection has ended. A server that rejects a request as full is
-//! passed over for a moment, without an ejection.
+//! A server is ejected when its error rate is too high or when several consecutive attempts time out. The
+//! duration doubles with each ejection, up to a bound, and is reset by a good response that arrives after an
+//! ejection has ended. A server that rejects a request because it is at capacity is skipped for a short time,
+//! without an ejection.
 
 use super::latency::SmoothedLatency;
 use crate::decay::DecayingSum;
 use crate::event::{EjectionReason, Millis, Outcome};
 
-/// Time constant, in milliseconds, of the counts of responses. The throughput of warm servers, which guides
-/// slow start, is measured over it.
+/// Time constant, in milliseconds, of the counts of recent responses. Also applies to the throughput of warm
+/// servers, which is measured by these counts.
 pub(super) const RESPONSE_TIME_CONSTANT_MS: Millis = 5000.0;
 /// Weight of the newest response in the smoothed latency and the smoothed error rate of a server.
 const NEWEST_WEIGHT: f64 = 0.2;
@@ -17,13 +18,15 @@
 const MAX_ERROR_RATE: f64 = 0.4;
 /// Number of consecutive timeouts at which a server is ejected.
 const MAX_CONSECUTIVE_TIMEOUTS: u32 = 3;
-/// Duration of a first ejection in milliseconds. Each further one is twice as long, until a good response.
+/// Duration of the first ejection in milliseconds. Each further ejection is twice as long as the one before,
+/// until a good response resets the duration.
 const MIN_EJECTION_MS: Millis = 1000.0;
 /// Longest duration of an ejection in milliseconds.
 const MAX_EJECTION_MS: Millis = 8000.0;
-/// Time in milliseconds for which a server is passed over after it rejected a request as full.
-const FULL_MS: Millis = 100.0;
-/// Number of recent responses with which a server's latency counts as much as the baseline latency.
+/// Time in milliseconds for which a server is skipped after it rejected a request because it was at capacity.
+const AT_CAPACITY_MS: Millis = 100.0;
+/// Number of recent responses of a server at which its own latency has the same weight as the baseline
+/// latency.
 const BASELINE_RESPONSES: f64 = 3.0;
 
 /// The health of a server as observed by this limiter.
@@ -33,25 +36,25 @@
     latency: SmoothedLatency,
     /// Smoothed fraction of errors among good responses and errors.
     pub(super) error_rate: f64,
-    /// Timeouts since the last response.
+    /// Number of timeouts since the last response.
     consecutive_timeouts: u32,
     /// End of the latest ejection.
     ejected_until: Millis,
-    /// Duration of the latest ejection in milliseconds; 0 again after a good response once the ejection has
+    /// Duration of the latest ejection in milliseconds; reset to 0 by a good response after the ejection has
     /// ended.
     pub(super) ejection_ms: Millis,
-    /// End of the time for which the server is passed over because it rejected a request as full.
-    full_until: Millis,
+    /// End of the time for which the server is skipped because it rejected a request while at capacity.
+    at_capacity_until: Millis,
     /// Time of the last response, good or not.
     pub(super) last_response_at: Millis,
-    /// Number of recent responses: how far the latency of this server alone can be trusted.
+    /// Number of recent responses: the weight of this server's own latency against the baseline latency.
     responses: DecayingSum,
     /// Number of recent good responses.
     pub(super) completions: DecayingSum,
 }
 
 impl Health {
-    /// Returns the health of a server of which nothing has been observed.
+    /// Creates the health of a server about which nothing has been observed yet.
     pub(super) fn new(now: Millis) -> Self {
         Health {
             latency: SmoothedLatency::new(NEWEST_WEIGHT),
@@ -59,15 +62,16 @@
             consecutive_timeouts: 0,
             ejected_until: f64::NEG_INFINITY,
             ejection_ms: 0.0,
-            full_until: f64::NEG_INFINITY,
+            at_capacity_until: f64::NEG_INFINITY,
             last_response_at: f64::NEG_INFINITY,
             responses: DecayingSum::new(now, RESPONSE_TIME_CONSTANT_MS),
             completions: DecayingSum::new(now, RESPONSE_TIME_CONSTANT_MS),
         }
     }
 
-    /// Returns the latency to expect of the server: the more responses the server has given recently, the
-    /// more the latency of this server counts against the baseline latency of all servers.
+    /// Returns the expected latency of the server: the weighted mean of its own latency and the baseline
+    /// latency of all servers. The more responses the server has sent recently, the higher is the weight of
+    /// its own latency.
     pub(super) fn usual_latency_ms(&self, now: Millis, baseline_ms: Millis) -> Millis {
         let responses = if self.latency.is_measured() { self.responses.value(now) } else { 0.0 };
         (self.latency.value_ms() * responses + baseline_ms * BASELINE_RESPONSES)
@@ -79,18 +83,18 @@
         now < self.ejected_until
     }
 
-    /// Returns whether the server must not get a new attempt: it is full, or it is unresponsive and
-    /// `in_flight` attempts at it are still to end. Once there is none in flight, a new attempt finds out
-    /// whether the server responds again.
+    /// Returns whether the server must not receive a new attempt: it is at capacity, or it is unresponsive
+    /// and attempts at it are in flight. When no attempt is in flight, a new attempt tests whether the server
+    /// responds again.
     pub(super) fn is_unavailable(&self, now: Millis, in_flight: u32) -> bool {
-        let is_full = now < self.full_until;
+        let is_at_capacity = now < self.at_capacity_until;
         let is_unresponsive = self.consecutive_timeouts >= MAX_CONSECUTIVE_TIMEOUTS;
-        is_full || (is_unresponsive && in_flight > 0)
+        is_at_capacity || (is_unresponsive && in_flight > 0)
     }
 
-    /// Records the end of an attempt. `timed_out` is true if this limiter cancelled the attempt because there
-    /// was no response; an attempt that is cancelled for another reason says nothing about the server.
-    /// Returns the reason if the server is ejected now.
+    /// Records the end of an attempt. `timed_out` is true if this limiter cancelled the attempt because no
+    /// response arrived in time; an attempt that is cancelled for another reason shows nothing about the
+    /// server. Returns the reason if the server is ejected for this end.
     pub(super) fn record_attempt_end(
         &mut self,
         now: Millis,
@@ -106,7 +110,7 @@
             Outcome::Error => self.record_error(now),
             Outcome::Rejected => {
                 self.record_response(now);
-                self.full_until = now + FULL_MS;
+                self.at_capacity_until = now + AT_CAPACITY_MS;
                 None
             }
             Outcome::Cancelled if !timed_out => None,
@@ -117,7 +121,7 @@
         }
     }
 
-    /// Records a good response. The next ejection is a short one again, unless one is running.
+    /// Records a good response. Resets the duration of ejections unless the server is ejected now.
     fn record_success(&mut self, now: Millis, elapsed_ms: Millis) {
         self.record_response(now);
         self.completions.add(now, 1.0);
@@ -135,7 +139,7 @@
         if self.error_rate < MAX_ERROR_RATE {
             return None;
         }
-        // A server that is back from its ejection is allowed some errors before the next one.
+        // After the ejection, the server may respond with some errors before it is ejected again.
         self.error_rate = MAX_ERROR_RATE / 2.0;
         self.eject(now, EjectionReason::Errors)
     }
@@ -147,7 +151,7 @@
         self.responses.add(now, 1.0);
     }
 
-    /// Records that an attempt got no response. Returns the reason if the server is ejected for it.
+    /// Records that an attempt received no response. Returns the reason if the server is ejected for it.
     pub(super) fn record_timeout(&mut self, now: Millis) -> Option<EjectionReason> {
         self.consecutive_timeouts += 1;
         if self.consecutive_timeouts < MAX_CONSECUTIVE_TIMEOUTS {
@@ -156,7 +160,7 @@
         self.eject(now, EjectionReason::NoResponse)
     }
 
-    /// Ejects the server unless it is ejected already. Returns the reason if it was not.
+    /// Ejects the server and returns the reason, unless the server is ejected already.
     fn eject(&mut self, now: Millis, reason: EjectionReason) -> Option<EjectionReason> {
         if self.is_ejected(now) {
             return None;
--- a/limiter-core/src/endpoints/record.rs
+++ b/limiter-core/src/endpoints/record.rs
@@ -1,14 +1,15 @@
-//! The record of one announced server: what discovery announces of it, and what this limiter has observed.
+//! The record of one announced server: what discovery has announced about it, and what this limiter has
+//! observed.
 
 use super::outlier::Health;
 use super::slow_start::SlowStart;
 use crate::event::{Endpoint, EndpointState, Millis};
 use crate::hashing::endpoint_hash;
 
-/// Identifies the record of a server. No limiter uses a number twice.
+/// Identifies the record of a server. No limiter uses the same number twice.
 pub(crate) type RecordId = u64;
 
-/// The location of a server.
+/// The zone and cell of a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct ServerLocation {
     /// Zone of the server.
@@ -17,8 +18,8 @@
     pub cell: u32,
 }
 
-/// Identifies one start of one server in gossip: the low bits of the hash of the server's id and start time.
-/// A server that restarts gets another fingerprint.
+/// Identifies one start of one server in gossip: the low 32 bits of the hash of the server's id and start
+/// time. A server that restarts gets another fingerprint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub(crate) struct Fingerprint(pub u32);
 
@@ -47,7 +48,7 @@
 }
 
 impl EndpointRecord {
-    /// Returns the record of a server of which nothing has been observed.
+    /// Creates the record of a server about which nothing has been observed yet.
     pub fn new(endpoint: Endpoint, id: RecordId, now: Millis) -> Self {
         EndpointRecord {
             id,
@@ -59,8 +60,8 @@
         }
     }
 
-    /// Replaces what is known from discovery. Health and attempts in flight are those of the server, whatever
-    /// is announced of it, and stay.
+    /// Replaces what discovery has announced about the server. The health and the attempts in flight describe
+    /// the server itself and stay.
     pub fn set_endpoint(&mut self, endpoint: &Endpoint) {
         self.endpoint = endpoint.clone();
         self.fingerprint = Fingerprint::of(endpoint);
@@ -71,12 +72,12 @@
         ServerLocation { zone: self.endpoint.zone, cell: self.endpoint.cell }
     }
 
-    /// Returns whether the server is announced as taking requests.
+    /// Returns whether the server accepts requests, by the latest announcement and the tombstones of peers.
     pub fn is_serving(&self) -> bool {
         self.endpoint.state == EndpointState::Serving
     }
 
-    /// Returns whether the server takes requests and has completed its slow start.
+    /// Returns whether the server accepts requests and is not in slow start.
     pub fn is_warm_and_serving(&self) -> bool {
         !self.slow_start.is_warming() && self.is_serving()
     }
--- a/limiter-core/src/endpoints/registry.rs
+++ b/limiter-core/src/endpoints/registry.rs
@@ -1,5 +1,5 @@
 //! The registry of announced servers: installs and removes their records, and keeps the indexes over the
-//! records in step with them.
+//! records up to date.
 
 use std::collections::{BTreeMap, BTreeSet, HashSet};
 
@@ -12,38 +12,38 @@
 use crate::context::Context;
 use crate::event::{Endpoint, EndpointState, Millis, ServerId};
 
-/// Weight of the newest latency in the baseline latency, which smooths the responses of all servers and
-/// therefore gets many more samples than the latency of a single server.
+/// Weight of the newest sample in the baseline latency. The baseline is the smoothed latency of the responses
+/// of all servers, and therefore receives many more samples than the latency of a single server.
 const BASELINE_NEWEST_WEIGHT: f64 = 0.05;
 
 /// The announced servers, and what this limiter has observed of them.
 ///
-/// The indexes (the ring, the responsive servers, the slow starts, the number of warm servers) are updated
-/// when the endpoint list changes. Between two changes, neither a request nor the control step looks at a
-/// server that this limiter does not use.
+/// Every change updates the indexes (the ring, the responders, the slow starts, the number of warm servers).
+/// A request or a control step therefore does not examine servers that this limiter does not use, except to
+/// end their slow starts.
 #[derive(Debug)]
 pub(crate) struct Endpoints {
     /// Records of all announced servers. Draining servers are included, removed ones are not.
     pub(super) by_id: BTreeMap<ServerId, EndpointRecord>,
     /// The ids of all announced servers, in the order in which routing visits them.
     pub(super) ring: ServerRing,
-    /// Servers that have given this limiter a good response, including those in slow start.
-    pub(super) responsive: BTreeSet<ServerId>,
+    /// Servers that have sent this limiter a good response, including those in slow start.
+    pub(super) responders: BTreeSet<ServerId>,
     /// Servers in slow start.
     pub(super) slow_starts: SlowStartIndex,
     /// Ejections that have not been logged yet.
     pub(super) ejection_log: EjectionLog,
-    /// Number of servers that take requests and have completed their slow start.
+    /// Number of servers that accept requests and are not in slow start.
     num_warm: usize,
-    /// Good responses per second that this limiter gets from one warm server. Guides the budgets of slow
-    /// start.
+    /// Good responses per second that this limiter receives from one warm server on average. The budgets of
+    /// slow start are computed from this throughput.
     pub(super) warm_throughput: f64,
     /// Latency of the good responses of all servers together.
     pub(super) baseline_latency: SmoothedLatency,
-    /// What is known of the ages of servers.
+    /// State from which the ages of servers are estimated.
     pub(super) start_times: StartTimes,
-    /// Number of records that routing and the control step have looked at so far. Tests check with it that
-    /// unused servers cost nothing.
+    /// Number of records that routing and the control step have examined so far. Tests use the number to
+    /// check that unused servers cost next to nothing.
     pub(super) num_examined: u64,
     /// Id of the newest record.
     last_record_id: RecordId,
@@ -54,7 +54,7 @@
         Endpoints {
             by_id: BTreeMap::new(),
             ring: ServerRing::default(),
-            responsive: BTreeSet::new(),
+            responders: BTreeSet::new(),
             slow_starts: SlowStartIndex::default(),
             ejection_log: EjectionLog::default(),
             num_warm: 0,
@@ -78,12 +78,12 @@
         self.by_id.len()
     }
 
-    /// Returns the number of servers that take requests and have completed their slow start.
+    /// Returns the number of servers that accept requests and are not in slow start.
     pub(super) fn num_warm(&self) -> usize {
         self.num_warm
     }
 
-    /// Returns the number of records that routing and the control step have looked at so far.
+    /// Returns the number of records that routing and the control step have examined so far.
     pub fn num_examined(&self) -> u64 {
         self.num_examined
     }
@@ -123,12 +123,12 @@
         unlisted.iter().filter_map(|server| self.remove(server)).collect()
     }
 
-    /// Removes a server, with all that was observed of it. Returns its fingerprint if it was announced.
+    /// Removes a server and everything that was observed of it. Returns its fingerprint if it was announced.
     fn remove(&mut self, server: &ServerId) -> Option<Fingerprint> {
         let record = self.by_id.remove(server)?;
         self.update_num_warm(record.is_warm_and_serving(), false);
         self.ring.remove(server);
-        self.responsive.remove(server);
+        self.responders.remove(server);
         self.slow_starts.remove(server);
         self.ejection_log.remove(server);
         Some(record.fingerprint)
@@ -137,10 +137,11 @@
     /// Installs a server that is serving or draining, or updates its record. Returns its fingerprint.
     fn install(&mut self, context: &mut Context, endpoint: &Endpoint) -> Fingerprint {
         let known = self.by_id.remove(&endpoint.server);
-        let has_started = known.as_ref().is_none_or(|known| known.endpoint.started_at != endpoint.started_at);
+        let is_new_start =
+            known.as_ref().is_none_or(|known| known.endpoint.started_at != endpoint.started_at);
         let was_warm = known.as_ref().is_some_and(EndpointRecord::is_warm_and_serving);
         let mut record = known.unwrap_or_else(|| self.new_record(endpoint, context.now));
-        if has_started {
+        if is_new_start {
             record.slow_start.begin_if_cold(context, &self.start_times, endpoint);
         }
         record.set_endpoint(endpoint);
--- a/limiter-core/src/endpoints/slow_start.rs
+++ b/limiter-core/src/endpoints/slow_start.rs
@@ -1,10 +1,11 @@
 //! Slow start: how many requests this limiter may send to one server that has just started.
 //!
-//! A cold server has a fraction of its capacity, which grows linearly until `slow_start_ms` after its start,
-//! and it fails under `overload_factor` times its present capacity. All limiters together must stay below
-//! that without an exchange of messages. Rendezvous hashing therefore selects a few limiters for each start,
-//! the warming set. Each member spends requests from a token bucket; every other limiter sends nothing until
-//! the slow start ends.
+//! A server that has just started is cold: it has a fraction of its full capacity, which grows linearly until
+//! `slow_start_ms` after the start. A cold server fails if a load of `overload_factor` times its present
+//! capacity lasts for `overload_ms`. The load of all limiters together must stay below that, without messages
+//! between the limiters. Rendezvous hashing therefore selects a few limiters for each start of a server, the
+//! warming set. Each member has a budget, a token bucket from which it spends one token per request that it
+//! sends to the server. All other limiters send nothing to the server until the slow start ends.
 
 use super::start_times::StartTimes;
 use crate::context::Context;
@@ -13,23 +14,27 @@
 use crate::settings::Settings;
 use crate::token_bucket::TokenBucket;
 
-/// Shortest slow start in milliseconds. Guards a division: a setting of 0 means that there is no slow start.
+/// Shortest slow start in milliseconds. Prevents a division by 0: a setting of 0 means that there is no slow
+/// start.
 const MIN_SLOW_START_MS: Millis = 1.0;
-/// Number of limiters that send to a server in slow start. The number is small because each of them may have
-/// saved up one request and has to open a connection: hundreds of limiters could overload the server at one
-/// moment.
+/// Number of limiters that send to a server in slow start. The number is small because each of these limiters
+/// may have accumulated the budget for one request and has to open a connection: hundreds of limiters at the
+/// same moment could overload the server.
 const WARMING_SET_SIZE: u32 = 12;
-/// Fraction of the load that a cold server can sustain, by the guaranteed capacity and the throughput of warm
-/// servers, that all limiters together send to it. The rest allows for requests that arrive at the same time.
+/// Fraction of the sustainable load of a cold server that all limiters together send to the server. The
+/// sustainable load is computed from the guaranteed capacity, the overload factor and the throughput of warm
+/// servers. The rest is a margin for requests that arrive at the same time.
 const BUDGET_FRACTION: f64 = 0.75;
-/// Requests that all limiters together may send to a cold server within the time in which an overload makes
-/// it fail, whatever throughput of warm servers was measured: the server tolerates 3 requests more than its
-/// capacity suggests. Without this minimum, no server of a fleet that started all at once, or after a quiet
-/// time, would get a request before the end of its slow start.
+/// Number of requests that all limiters together may send to a cold server within the time in which an
+/// overload makes the server fail. Applies even if the throughput measured at warm servers is lower or 0: the
+/// server tolerates 3 requests more than its capacity suggests. Without this minimum, the servers of a fleet
+/// that all start at once, or that start after a time without requests, would receive no request before the
+/// end of their slow starts.
 const MIN_REQUESTS_PER_WINDOW: f64 = 1.0;
-/// Shortest overload in milliseconds that makes a cold server fail. Applies where the setting is lower or 0.
+/// Shortest overload in milliseconds that is assumed to make a cold server fail. Applies if the setting is
+/// lower or 0.
 const MIN_OVERLOAD_MS: Millis = 1000.0;
-/// Requests that a limiter may save up for one server.
+/// Largest number of requests that the budget of one server can accumulate at a limiter.
 const BUDGET_CAPACITY: f64 = 1.0;
 
 /// The slow start of a server.
@@ -42,8 +47,8 @@
 /// The state of a slow start that has not ended.
 #[derive(Debug)]
 struct Warming {
-    /// Start of the server on this limiter's clock. Never earlier than the true start.
-    since: Millis,
+    /// Estimated start of the server on this limiter's clock. Never earlier than the true start.
+    started_at: Millis,
     /// Requests that this limiter may send to the server, or `None` if the limiter does not belong to the
     /// warming set and sends nothing.
     budget: Option<TokenBucket>,
@@ -56,13 +61,13 @@
     cold + (1.0 - cold) * progress.max(0.0)
 }
 
-/// Returns the number of limiters whose part of a server's budget one member of the warming set sends: at
-/// least its own.
+/// Returns the number of limiters whose parts of a server's budget one member of the warming set spends: at
+/// least 1, the member itself.
 pub(super) fn limiters_per_member(settings: &Settings) -> f64 {
     (f64::from(settings.limiters) / f64::from(WARMING_SET_SIZE)).max(1.0)
 }
 
-/// Returns the least rate of one limiter's part of a cold server's budget, in requests per second.
+/// Returns the minimum refill rate of one limiter's part of a cold server's budget, in requests per second.
 fn min_rate(settings: &Settings) -> f64 {
     let window_s = settings.overload_ms.max(MIN_OVERLOAD_MS) / 1000.0;
     MIN_REQUESTS_PER_WINDOW / window_s / f64::from(settings.limiters)
@@ -74,9 +79,9 @@
 }
 
 impl Warming {
-    /// Returns the elapsed fraction of the slow start: 1 or more once its time is over.
+    /// Returns the elapsed fraction of the slow start: 1 or more once its duration has passed.
     fn progress(&self, now: Millis, settings: &Settings) -> f64 {
-        (now - self.since) / duration_ms(settings)
+        (now - self.started_at) / duration_ms(settings)
     }
 }
 
@@ -86,7 +91,7 @@
         SlowStart { warming: None }
     }
 
-    /// Returns whether the slow start has not ended.
+    /// Returns whether the slow start is still in progress.
     pub(super) fn is_warming(&self) -> bool {
         self.warming.is_some()
     }
@@ -102,7 +107,7 @@
         Some(guaranteed_capacity_fraction(progress, settings))
     }
 
-    /// Returns whether this limiter may send a request to the server as far as the slow start is concerned.
+    /// Returns whether slow start allows this limiter to send a request to the server.
     pub(super) fn has_budget(&self) -> bool {
         match &self.warming {
             Some(warming) => warming.budget.is_some_and(|budget| budget.level >= 1.0),
@@ -110,7 +115,7 @@
         }
     }
 
-    /// Deducts a request that is sent to the server.
+    /// Deducts from the budget a request that is sent to the server.
     pub(super) fn spend(&mut self) {
         let Some(warming) = &mut self.warming else { return };
         if let Some(budget) = &mut warming.budget {
@@ -121,15 +126,16 @@
     /// Returns the time at which the slow start ends, or `None` if it has ended.
     pub(super) fn ends_at(&self, settings: &Settings) -> Option<Millis> {
         let warming = self.warming.as_ref()?;
-        Some(warming.since + duration_ms(settings))
+        Some(warming.started_at + duration_ms(settings))
     }
 
     /// Begins a slow start for a server whose start is announced for the first time, unless the server
     /// started so long ago that it is warm.
     ///
-    /// All limiters are notified at about the same time. Members of the warming set therefore begin with a
-    /// random part of a request, so that their first requests do not arrive together. A limiter that may have
-    /// been started after the server begins with none: with each restart it would get another part.
+    /// All limiters are notified of the start at about the same time. The budgets of the members of the
+    /// warming set therefore begin with a random fraction of a request, so that their first requests do not
+    /// arrive together. The budget of a limiter that may have started after the server begins empty:
+    /// otherwise, each restart of the limiter would add another fraction.
     pub(super) fn begin_if_cold(
         &mut self,
         context: &mut Context,
@@ -141,18 +147,19 @@
         if endpoint.started_at <= 0.0 || min_age_ms >= settings.slow_start_ms {
             return;
         }
-        let saved_up = if start_times.observed_since_start() { context.rng.f64() } else { 0.0 };
+        let initial_level = if start_times.was_ever_connected() { context.rng.f64() } else { 0.0 };
         let rank = rendezvous_rank(endpoint_hash(endpoint), settings.position, settings.limiters);
         let is_in_warming_set = rank < WARMING_SET_SIZE as usize;
-        let budget = if is_in_warming_set { Some(TokenBucket::new(saved_up, context.now)) } else { None };
-        self.warming = Some(Warming { since: context.now - min_age_ms, budget });
+        let budget =
+            if is_in_warming_set { Some(TokenBucket::new(initial_level, context.now)) } else { None };
+        self.warming = Some(Warming { started_at: context.now - min_age_ms, budget });
     }
 
-    /// Ends the slow start if its time is over; otherwise adds to the budget what the server may be sent for
-    /// the time since the last refill.
+    /// Ends the slow start if its duration has passed. Otherwise, adds to the budget the requests that may be
+    /// sent for the time since the last refill.
     ///
-    /// Refills must be frequent. A limiter among hundreds sends so rarely that its measured throughput would
-    /// have decayed by the next request.
+    /// Refills must be frequent, not only when a request is sent: a limiter among hundreds sends requests so
+    /// rarely that the measured throughput would have decayed by the next request.
     pub(super) fn refill(&mut self, now: Millis, warm_throughput: f64, settings: &Settings) {
         let Some(warming) = &mut self.warming else { return };
         let progress = warming.progress(now, settings);
--- a/limiter-core/src/endpoints/slow_start_index.rs
+++ b/limiter-core/src/endpoints/slow_start_index.rs
@@ -1,5 +1,5 @@
-//! The servers in slow start, indexed so that a limiter looks at servers of other warming sets only when
-//! one of their slow starts may have ended.
+//! Index of the servers in slow start. With the index, a limiter examines the servers whose warming set it
+//! does not belong to only when one of their slow starts may have ended.
 
 use std::collections::BTreeSet;
 
@@ -7,68 +7,70 @@
 use crate::event::{Millis, ServerId};
 use crate::settings::Settings;
 
-/// The servers in slow start.
+/// The servers in slow start. A server is assigned to this limiter if the limiter belongs to the server's
+/// warming set.
 #[derive(Debug)]
 pub(super) struct SlowStartIndex {
     /// All servers in slow start.
     warming: BTreeSet<ServerId>,
-    /// Those of `warming` whose warming set this limiter belongs to.
-    warming_here: BTreeSet<ServerId>,
-    /// A time before which no slow start ends that is in `warming` but not in `warming_here`. Servers that
-    /// were removed may leave it too early, which costs one search.
-    next_end_elsewhere: Millis,
+    /// Those of `warming` that are assigned to this limiter.
+    assigned: BTreeSet<ServerId>,
+    /// Lower bound of the times at which the slow starts end that are in `warming` but not in `assigned`.
+    /// After the removal of a server, the bound may be lower than necessary, which costs one search.
+    next_unassigned_end: Millis,
 }
 
 impl Default for SlowStartIndex {
     fn default() -> Self {
         SlowStartIndex {
             warming: BTreeSet::new(),
-            warming_here: BTreeSet::new(),
-            next_end_elsewhere: f64::INFINITY,
+            assigned: BTreeSet::new(),
+            next_unassigned_end: f64::INFINITY,
         }
     }
 }
 
 impl SlowStartIndex {
-    /// Returns the servers in slow start whose warming set this limiter belongs to.
-    pub fn warming_here(&self) -> &BTreeSet<ServerId> {
-        &self.warming_here
+    /// Returns the servers in slow start that are assigned to this limiter.
+    pub fn assigned(&self) -> &BTreeSet<ServerId> {
+        &self.assigned
     }
 
-    /// Returns the servers whose slow start has to be refilled now: those that this limiter may send requests
-    /// to, and all others as well if one of their slow starts may have ended.
+    /// Returns the servers whose slow start has to be refilled now: those that are assigned to this limiter,
+    /// and also all others if one of their slow starts may have ended.
     pub fn due_for_refill(&self, now: Millis) -> &BTreeSet<ServerId> {
-        if now >= self.next_end_elsewhere {
+        if now >= self.next_unassigned_end {
             &self.warming
         } else {
-            &self.warming_here
+            &self.assigned
         }
     }
 
-    /// Records the slow start of a server that was announced.
+    /// Updates the index with the slow start of a server that was announced.
     pub fn update(&mut self, server: &ServerId, slow_start: &SlowStart, settings: &Settings) {
-        self.warming_here.remove(server);
+        self.assigned.remove(server);
         let Some(ends_at) = slow_start.ends_at(settings) else { return };
         self.warming.insert(server.clone());
         if slow_start.is_in_warming_set() {
-            self.warming_here.insert(server.clone());
+            self.assigned.insert(server.clone());
         } else {
-            self.next_end_elsewhere = self.next_end_elsewhere.min(ends_at);
+            self.next_unassigned_end = self.next_unassigned_end.min(ends_at);
         }
     }
 
     /// Removes a server whose slow start has ended, or which is no longer announced.
     pub fn remove(&mut self, server: &ServerId) {
         self.warming.remove(server);
-        self.warming_here.remove(server);
+        self.assigned.remove(server);
     }
 
-    /// Finds the next end of a slow start again once the present one has passed. Must be called after all
-    /// servers that [`SlowStartIndex::due_for_refill`] returned have been refilled.
+    /// Recomputes the lower bound of the ends of the slow starts that are not assigned to this limiter, once
+    /// that bound has passed. Must be called after all servers that [`SlowStartIndex::due_for_refill`]
+    /// returned have been refilled.
     pub fn update_next_end(&mut self, now: Millis, ends_at: impl Fn(&ServerId) -> Option<Millis>) {
-        if now >= self.next_end_elsewhere {
-            let warming_elsewhere = self.warming.difference(&self.warming_here);
-            self.next_end_elsewhere = warming_elsewhere.filter_map(ends_at).fold(f64::INFINITY, f64::min);
+        if now >= self.next_unassigned_end {
+            let unassigned = self.warming.difference(&self.assigned);
+            self.next_unassigned_end = unassigned.filter_map(ends_at).fold(f64::INFINITY, f64::min);
         }
     }
 }
--- a/limiter-core/src/endpoints/slow_start_upkeep.rs
+++ b/limiter-core/src/endpoints/slow_start_upkeep.rs
@@ -1,4 +1,4 @@
-//! The periodic upkeep of all slow starts by the control step.
+//! The periodic update of all slow starts by the control step.
 
 use super::record::EndpointRecord;
 use super::registry::Endpoints;
@@ -7,15 +7,15 @@
 use crate::settings::Settings;
 
 impl Endpoints {
-    /// Measures the throughput of warm servers and, guided by that measurement, refills the budgets of the
-    /// servers in slow start. Ends the slow starts whose time is over.
+    /// Measures the throughput of warm servers, and refills the budgets of the servers in slow start at rates
+    /// computed from that throughput. Ends the slow starts whose duration has passed.
     pub(crate) fn update_slow_start(&mut self, context: &Context) {
         self.measure_warm_throughput(context);
         let due: Vec<ServerId> = self.slow_starts.due_for_refill(context.now).iter().cloned().collect();
         for server in &due {
             self.refill_slow_start(server, context.now, &context.settings);
         }
-        self.find_next_slow_start_end(context.now, &context.settings);
+        self.update_next_slow_start_end(context.now, &context.settings);
     }
 
     /// Refills the budget of one server, or ends its slow start.
@@ -35,9 +35,10 @@
         self.slow_starts.remove(server);
     }
 
-    /// Finds when the next slow start ends that this limiter takes no part in. Must be called after the
-    /// servers that are due for a refill have been refilled.
-    pub(super) fn find_next_slow_start_end(&mut self, now: Millis, settings: &Settings) {
+    /// Recomputes the end of the next slow start whose warming set this limiter does not belong to, once the
+    /// end known so far has passed. Must be called after the servers that are due for a refill have been
+    /// refilled.
+    pub(super) fn update_next_slow_start_end(&mut self, now: Millis, settings: &Settings) {
         let by_id = &self.by_id;
         self.slow_starts.update_next_end(now, |server| by_id.get(server)?.slow_start.ends_at(settings));
     }
--- a/limiter-core/src/endpoints/start_times.rs
+++ b/limiter-core/src/endpoints/start_times.rs
@@ -1,24 +1,26 @@
 //! Estimates how long ago servers started, from the start times that discovery announces.
 //!
 //! The clock of the announced start times and the wall clock of this host may differ by hours, because wall
-//! clocks are stepped. Only ages of hours are therefore derived from a comparison of the two. Everything else
-//! is derived from the clock of the events, which only goes forward, and from differences between announced
-//! start times.
+//! clocks can be stepped. Only ages of hours are therefore derived from a comparison of the two. All other
+//! ages are derived from the clock of the events, which never goes backward, and from differences between
+//! announced start times.
 //!
 //! Every estimate is at most the true age, so that slow start never assumes more capacity than a server has.
 
 use crate::event::{Endpoint, Millis};
 
-/// Largest difference between two wall clocks in milliseconds: each may have been stepped by an hour.
+/// Largest expected difference between two wall clocks in milliseconds: each may have been stepped by an
+/// hour.
 const MAX_CLOCK_ERROR_MS: Millis = 2.0 * 3_600_000.0;
-/// Latest start time that is accepted, in Unix milliseconds (the year 2100). A later one is a mistake of the
-/// announcement and would make all other servers look old.
+/// Latest announced start time that estimates are based on, in Unix milliseconds (the year 2100). A later
+/// time is an error in the announcement and would make all other servers appear old.
 const MAX_STARTED_AT: Millis = 4_102_444_800_000.0;
 
 /// Whether discovery notifies this limiter of changes as they happen.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum DiscoveryState {
-    /// Discovery has announced nothing to this process. An announced change may have happened at any time.
+    /// Discovery has announced nothing to this process yet. An announced change may have happened at any
+    /// time.
     NeverConnected,
     /// Discovery announces changes as they happen. A start that is announced now has just happened.
     Connected,
@@ -26,12 +28,13 @@
     DisconnectedSince(Millis),
 }
 
-/// What is known of the clock of the announced start times, and of the connection to discovery.
+/// What is known about the clock of the announced start times, and of the connection to discovery.
 #[derive(Debug)]
 pub(super) struct StartTimes {
     /// Bounds how long ago a start that is announced now can have happened.
     discovery: DiscoveryState,
-    /// Lower bound of the announced clock minus this limiter's clock: no announced start was in the future.
+    /// Lower bound of the clock of the announced start times minus this limiter's clock. The bound holds
+    /// because a start lies in the past when it is announced.
     min_clock_offset_ms: Millis,
     /// Wall clock minus this limiter's clock at the start of this limiter, if the caller has passed the wall
     /// clock.
@@ -54,7 +57,7 @@
         self.wall_clock_offset_ms = Some(unix_ms - now);
     }
 
-    /// Records that discovery has answered: it notifies this limiter of changes from now on.
+    /// Records that discovery has answered: this limiter is notified of changes from now on.
     pub(super) fn connected(&mut self) {
         self.discovery = DiscoveryState::Connected;
     }
@@ -68,7 +71,7 @@
 
     /// Returns whether discovery has announced the endpoint list to this process, so that a server whose
     /// start is announced now was started after this limiter.
-    pub(super) fn observed_since_start(&self) -> bool {
+    pub(super) fn was_ever_connected(&self) -> bool {
         self.discovery != DiscoveryState::NeverConnected
     }
 
@@ -99,7 +102,8 @@
         age_ms.max(0.0)
     }
 
-    /// Returns the least possible age by the latest announced start and by the wall clock.
+    /// Returns the least possible age according to the latest announced start and to the wall clock: the
+    /// larger of the two lower bounds.
     fn min_age_by_clocks_ms(&self, now: Millis, started_at: Millis) -> Millis {
         let by_latest_start = now + self.min_clock_offset_ms - started_at;
         let by_wall_clock = match self.wall_clock_offset_ms {
--- a/limiter-core/src/endpoints/throughput.rs
+++ b/limiter-core/src/endpoints/throughput.rs
@@ -1,4 +1,4 @@
-//! The throughput of a warm server, which guides the budgets of slow start.
+//! The throughput of a warm server, from which the budgets of slow start are computed.
 
 use super::outlier::RESPONSE_TIME_CONSTANT_MS;
 use super::registry::Endpoints;
@@ -7,41 +7,41 @@
 use crate::event::Millis;
 use crate::settings::Settings;
 
-/// Least age of this limiter that the measurement is extrapolated from, as a fraction of the time constant of
-/// the responses. Bounds the extrapolation of the first responses.
-const MIN_MEASURED_FRACTION: f64 = 0.1;
-/// Least fraction of its capacity that a server in slow start is assumed to have. The setting may be 0, and
+/// Minimum age of this limiter that the extrapolation of a measurement assumes, as a fraction of the time
+/// constant of the counts of responses. Bounds the extrapolation of the first responses.
+const MIN_AGE_FRACTION: f64 = 0.1;
+/// Minimum fraction of its capacity that a server in slow start is assumed to have. The setting may be 0, and
 /// the throughput is divided by the fraction.
 const MIN_CAPACITY_FRACTION: f64 = 0.05;
 
 impl Endpoints {
-    /// Measures the good responses per second that this limiter gets from one warm server.
+    /// Measures the good responses per second that this limiter receives from one warm server on average.
     ///
-    /// Only good responses of servers that are serving count. Requests that were rejected, or sent to other
-    /// servers, show nothing of what a server can sustain: when few warm servers were left, the number of
-    /// such requests was many times what these servers sustained. Without any warm server the last
-    /// measurement remains, or the estimate from the servers in slow start, if that is more.
+    /// Only good responses of servers that are warm and serving are counted. Requests that were rejected, or
+    /// sent to other servers, do not show what a server can sustain: when few warm servers were left, the
+    /// number of such requests was many times what these servers sustained. Without any warm server, the last
+    /// measurement is kept, unless the estimate from the servers in slow start is higher.
     pub(super) fn measure_warm_throughput(&mut self, context: &Context) {
         let now = context.now;
         if self.num_warm() == 0 {
-            let of_warming = self.warming_throughput(now, &context.settings);
-            self.warm_throughput = self.warm_throughput.max(of_warming);
+            let estimate = self.warming_throughput(now, &context.settings);
+            self.warm_throughput = self.warm_throughput.max(estimate);
             return;
         }
         // A limiter that has just started has counted responses for a short time only. Without the
-        // extrapolation, the servers in slow start would get too few requests for seconds.
-        let age_ms = (now - context.started_at).max(RESPONSE_TIME_CONSTANT_MS * MIN_MEASURED_FRACTION);
+        // extrapolation, the servers in slow start would receive too few requests for seconds.
+        let age_ms = (now - context.started_at).max(RESPONSE_TIME_CONSTANT_MS * MIN_AGE_FRACTION);
         let measured_fraction = 1.0 - (-age_ms / RESPONSE_TIME_CONSTANT_MS).exp();
         self.warm_throughput = self.warm_responses_per_s(now) / measured_fraction / self.num_warm() as f64;
     }
 
     /// Returns the good responses per second of all servers that are warm and serving.
     fn warm_responses_per_s(&mut self, now: Millis) -> f64 {
-        // Most servers of a large fleet have never responded to this limiter and are not looked at.
-        self.num_examined += self.responsive.len() as u64;
-        // The sum is in the order of the ids, so that the same events give the same sum.
+        // Most servers of a large fleet have never responded to this limiter and are not examined.
+        self.num_examined += self.responders.len() as u64;
+        // The order of the additions is that of the server ids, so that the same events lead to the same sum.
         let mut responses_per_s = 0.0;
-        for server in &self.responsive {
+        for server in &self.responders {
             let Some(record) = self.by_id.get(server) else { continue };
             if record.is_warm_and_serving() {
                 responses_per_s += record.health.completions.rate(now);
@@ -51,18 +51,19 @@
     }
 
     /// Estimates the throughput of a warm server from the good responses of the servers in slow start: the
-    /// capacity that these show now, extrapolated to their full capacity. The budgets therefore grow by a
-    /// factor with each load that the servers have sustained. A member of a warming set sends the part of
-    /// several limiters, so that the responses of the member are divided by their number.
+    /// throughput that these have now, extrapolated to their full capacity. The budgets therefore grow by a
+    /// factor each time that the servers have sustained a load. A member of a warming set sends the parts of
+    /// several limiters, so the responses that the member receives are divided by the number of these
+    /// limiters.
     fn warming_throughput(&mut self, now: Millis, settings: &Settings) -> f64 {
-        self.num_examined += self.responsive.len() as u64;
-        let warming_here = self.slow_starts.warming_here();
+        self.num_examined += self.responders.len() as u64;
+        let assigned = self.slow_starts.assigned();
         let mut responses_per_s = 0.0;
-        for server in self.responsive.intersection(warming_here) {
+        for server in self.responders.intersection(assigned) {
             let Some(record) = self.by_id.get(server) else { continue };
             let Some(fraction) = record.slow_start.capacity_fraction(now, settings) else { continue };
             responses_per_s += record.health.completions.rate(now) / fraction.max(MIN_CAPACITY_FRACTION);
         }
-        responses_per_s / warming_here.len().max(1) as f64 / limiters_per_member(settings)
+        responses_per_s / assigned.len().max(1) as f64 / limiters_per_member(settings)
     }
 }
--- a/limiter-core/src/endpoints/tombstone_gossip.rs
+++ b/limiter-core/src/endpoints/tombstone_gossip.rs
@@ -1,9 +1,9 @@
-//! Gossip about departed servers, among limiters that discovery does not answer.
+//! Gossip about departed servers, for limiters that are cut off from discovery.
 //!
-//! A change counts as notified to all limiters some seconds after discovery has announced it to any. A
-//! limiter that discovery does not answer therefore polls its peers, one at a time, for the servers that
-//! departed. Only departures are learned in this way: a server is used when discovery, or the configured
-//! list, has announced it.
+//! Every limiter is expected to know a change some seconds after discovery has announced the change to any
+//! limiter. A limiter that is cut off from discovery therefore polls its peers, one at a time, for the
+//! servers that departed. Only departures are learned in this way: a server is not used before discovery, or
+//! the configured list, has announced it.
 
 use super::record::Fingerprint;
 use super::tombstones::TOMBSTONES_PER_MESSAGE;
@@ -12,23 +12,23 @@
 use crate::limiter::Limiter;
 
 /// Time between two polls in milliseconds. About ten polls, each of a random peer, fit into the time after
-/// which a change counts as notified.
+/// which every limiter is expected to know a change.
 const POLL_INTERVAL_MS: Millis = 500.0;
-/// Number of polls that a process sends immediately when it installs its configured list. One poll may be
-/// lost, and a polled peer may have been started just now as well. The peers are drawn at random, so that two
-/// polls may go to the same peer.
+/// Number of polls that a process sends immediately when it installs its configured list. Several polls are
+/// sent because a poll may be lost, and because a polled peer may also have just started. The peers are drawn
+/// at random, so two polls may go to the same peer.
 const STARTUP_POLLS: u32 = 4;
 
 impl Limiter {
-    /// Polls several peers immediately, for a process that starts without discovery.
+    /// Sends several polls immediately, for a process that starts without discovery.
     pub(super) fn poll_peers_at_startup(&mut self, out: &mut Vec<Action>) {
         for _ in 0..STARTUP_POLLS {
             self.poll_random_peer(out);
         }
     }
 
-    /// Polls a random peer if discovery does not answer and the last poll was [`POLL_INTERVAL_MS`] ago or
-    /// earlier.
+    /// Polls a random peer if this limiter is cut off from discovery and the last poll was at least
+    /// [`POLL_INTERVAL_MS`] ago.
     pub(crate) fn poll_peers_for_tombstones(&mut self, out: &mut Vec<Action>) {
         let is_due = self.context.now - self.tombstones.last_poll_at >= POLL_INTERVAL_MS;
         if self.tombstones.discovery_lost && is_due {
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Polls a peer that is drawn at random. Does nothing without peers or gossip.
+    /// Polls a peer that is drawn at random. Does nothing if there are no peers or gossip is disabled.
     fn poll_random_peer(&mut self, out: &mut Vec<Action>) {
         let limiters = self.context.settings.limiters;
         if !self.context.settings.can_gossip || limiters <= 1 {
--- a/limiter-core/src/endpoints/tombstones.rs
+++ b/limiter-core/src/endpoints/tombstones.rs
@@ -1,18 +1,19 @@
-//! Tombstones: fingerprints of servers that departed recently, to be reported to peers that discovery does
-//! not answer.
+//! Tombstones: fingerprints of servers that departed recently, for peers that are cut off from discovery.
 
 use std::collections::{HashSet, VecDeque};
 
 use super::record::Fingerprint;
 use crate::event::Millis;
 
-/// Time in milliseconds for which a tombstone is reported. Longer than an outage of discovery, during which
-/// limiters may be started.
+/// Time in milliseconds for which a tombstone is reported. Longer than an outage of discovery, because
+/// limiters may be started during the outage.
 const RETENTION_MS: Millis = 300_000.0;
-/// Tombstones of one gossip message: 48 lines of 5 bytes and a header of 8 bytes, in 256 bytes at most.
+/// Largest number of tombstones in one gossip message: 48 lines of 5 bytes and a header of 8 bytes fit into
+/// the limit of 256 bytes.
 pub(super) const TOMBSTONES_PER_MESSAGE: usize = 48;
-/// Largest number of tombstones that are remembered and reported: eight messages. That covers all servers of
-/// a usual fleet, and the latest departures in the largest ones. More messages would delay those on quotas.
+/// Largest number of tombstones that are stored and reported: eight messages. This covers all servers of a
+/// typical fleet, and the latest departures in the largest fleets. More messages would delay the messages
+/// about quotas.
 const MAX_TOMBSTONES: usize = 8 * TOMBSTONES_PER_MESSAGE;
 
 /// A server that is draining or was removed.
@@ -25,8 +26,8 @@
 /// The recent tombstones, and whether peers are polled for theirs.
 #[derive(Debug)]
 pub(crate) struct Tombstones {
-    /// Whether discovery does not answer. While that is so, peers are polled and their tombstones are
-    /// applied.
+    /// Whether this limiter is cut off from discovery. While this is the case, peers are polled and their
+    /// tombstones are applied.
     pub discovery_lost: bool,
     /// Time of the last poll of a peer.
     pub(super) last_poll_at: Millis,
@@ -37,7 +38,7 @@
 }
 
 impl Tombstones {
-    /// Returns an empty log, for a limiter that has not lost discovery.
+    /// Creates an empty list of tombstones, for a limiter that is not cut off from discovery.
     pub fn new() -> Self {
         Tombstones {
             discovery_lost: false,
@@ -47,7 +48,7 @@
         }
     }
 
-    /// Records that a server is draining or was removed. A tombstone that is present keeps its age.
+    /// Records that a server is draining or was removed. A tombstone that is already present keeps its time.
     pub(super) fn record(&mut self, now: Millis, fingerprint: Fingerprint) {
         self.expire(now);
         if !self.fingerprints.insert(fingerprint) {
@@ -59,7 +60,7 @@
         }
     }
 
-    /// Removes the tombstone of a server that takes requests again.
+    /// Removes the tombstone of a server that accepts requests again.
     pub(super) fn remove(&mut self, fingerprint: Fingerprint) {
         if self.fingerprints.remove(&fingerprint) {
             self.recent.retain(|tombstone| tombstone.fingerprint != fingerprint);
