--- a/limiter/tests/attempts.rs
+++ b/limiter/tests/attempts.rs
@@ -1,5 +1,5 @@
-//! What the outcome of an attempt proves: whether a server may have executed the request, and which
-//! status the client receives.
+//! Outcomes of attempts: whether a server may have executed the request, and which status the client receives
+//! as a result.
 
 mod stubs;
 
@@ -21,11 +21,11 @@
     RejectionCase { header: "X-Unprocessed: 0\r\n", expected_status: 502 },
 ];
 
-/// A server answers a request with an idempotency key with 503 or 504. Only with `X-Unprocessed: 1` do these
-/// prove that the request was not executed, so that the client receives 429 and may retry safely. Without the
-/// header the request may have been executed, and must fail with 502.
+/// A server answers a request with an idempotency key with status 503 or 504. If the response has the header
+/// `X-Unprocessed: 1`, the request was not executed: the client receives 429 and may retry safely. Without
+/// this header, or with another value, the request may have been executed, and must fail with 502.
 #[test]
-fn a_rejection_counts_as_not_executed_only_with_the_unprocessed_header() {
+fn a_503_or_504_is_answered_with_429_only_if_x_unprocessed_is_1() {
     for RejectionCase { header, expected_status } in REJECTION_CASES {
         for status_line in ["503 Busy", "504 Late"] {
             let server = StubServer::new(move |_, stream| {
@@ -38,8 +38,8 @@
     }
 }
 
-/// The only server refuses connections. This proves that no server executed the request, so that the client
-/// receives 429 and may retry safely.
+/// The only server refuses connections. A refused connection proves that the server has not executed the
+/// request, so the client receives 429 and may retry safely.
 #[test]
 fn a_request_is_rejected_if_its_server_refuses_connections() {
     let server = StubServer::new(|_, _| false);
@@ -50,10 +50,11 @@
 }
 
 /// A server accepts requests and never responds. The client, which waits 0.6 s, receives one final response
-/// in time. Attempts follow one another, as two at the same time might both be executed, and the connection
-/// of each attempt is closed and not pooled, as its response may still arrive.
+/// in time. The limiter sends one attempt at a time, because two concurrent attempts might both be executed.
+/// It closes the connection of each attempt instead of pooling it, because the response to the attempt may
+/// still arrive.
 #[test]
-fn attempts_at_an_unresponsive_server_are_closed_and_never_overlap() {
+fn attempts_at_an_unresponsive_server_never_overlap_and_their_connections_are_closed() {
     let server = StubServer::unresponsive();
     let limiter = LimiterProcess::in_front_of(&server);
     let request = request_with_key("k", "x").replace("X-Time-Left: 3.0", "X-Time-Left: 0.6");
@@ -62,7 +63,9 @@
     let elapsed = started_at.elapsed();
     assert_eq!(response.status, 502, "the request may have been executed");
     assert!(elapsed < Duration::from_millis(1500), "the response took {elapsed:?}");
-    wait_for("all attempts to be closed", || server.num_closed_connections() == server.num_connections());
+    wait_for("the connections of all attempts to be closed", || {
+        server.num_closed_connections() == server.num_connections()
+    });
     assert_eq!(server.max_open_connections(), 1, "two attempts overlapped");
 }
 
--- a/limiter/tests/client_connections.rs
+++ b/limiter/tests/client_connections.rs
@@ -1,5 +1,5 @@
-//! Connections of clients: clients that are slow, idle or too many affect no other client, and connections
-//! without a complete request time out.
+//! Client connections: slow, idle or too many clients do not affect other clients, and connections without a
+//! complete request time out.
 
 mod stubs;
 
@@ -24,37 +24,37 @@
 }
 
 impl IncompleteRequest {
-    /// Sends the part of a request on a new connection.
+    /// Sends a text, which is empty or an incomplete request, on a new connection.
     fn send(limiter: &LimiterProcess, text: String) -> IncompleteRequest {
         let client = limiter.send(&text);
         IncompleteRequest { text, client, sent_at: Instant::now() }
     }
 
-    /// Sends a complete request with the part of a second one, reads the response to the first, and sends
+    /// Sends a complete request and the beginning of a second one, reads the response to the first, and sends
     /// another byte of the second.
     fn send_after_complete_request(limiter: &LimiterProcess) -> IncompleteRequest {
         let text = idempotent_request() + INCOMPLETE_REQUEST;
         let mut client = limiter.send(&text);
         assert_eq!(read_response(&mut client).status, 200);
-        client.write_all(b"0").expect("write");
+        client.write_all(b"0").expect("a written byte");
         IncompleteRequest { text, client, sent_at: Instant::now() }
     }
 }
 
-/// Sends single bytes until the limiter closes the connection. Further bytes must not extend the time that a
-/// request has to arrive.
+/// Sends one byte after another until the limiter closes the connection. Asserts that this takes less than
+/// [`MAX_TIME_TO_CLOSE`]: further bytes must not extend the time within which a request has to arrive.
 fn assert_trickling_client_times_out(limiter: &LimiterProcess) {
     let mut client = limiter.connect();
     let started_at = Instant::now();
     while client.write_all(b"x").is_ok() {
-        assert!(started_at.elapsed() < MAX_TIME_TO_CLOSE, "each byte extends the time");
+        assert!(started_at.elapsed() < MAX_TIME_TO_CLOSE, "the connection is still open");
         sleep_ms(100);
     }
 }
 
-/// Guards against connections that silent clients, incomplete requests or trickled bytes occupy: each of them
-/// is closed or answered with an error in bounded time. An idle connection whose requests are answered stays
-/// open.
+/// Guards against connections that are occupied without limit by clients which send nothing, an incomplete
+/// request, or one byte after another. The limiter closes each of them in bounded time, with or without an
+/// error response. An idle connection whose requests have been answered stays open.
 #[test]
 fn connections_without_a_complete_request_time_out() {
     let server = StubServer::responding_with("fine");
@@ -77,7 +77,7 @@
     assert_eq!(
         send_and_receive(&mut idle_client, &idempotent_request()).status,
         200,
-        "the idle connection is open"
+        "the idle connection must still be open"
     );
 }
 
@@ -115,18 +115,19 @@
     wait_for("service", || limiter.request(&idempotent_request()).status == 200);
 }
 
-/// A request that takes less than this to send is complete before its time to arrive (2 s) has passed.
+/// Longest time for sending a request slowly. A request that is sent within this time is complete before the
+/// limiter times it out, 2 s after the accept.
 const MAX_SEND_TIME: Duration = Duration::from_millis(1700);
 
-/// Sends a request byte by byte; another client exchanges requests in between and must be answered. Returns
-/// the response, or nothing if the machine was too busy for the request to be sent in time.
+/// Sends a request byte by byte, while another client exchanges requests and must be answered. Returns the
+/// response, or `None` if the machine was too busy to send the request in time.
 fn exchange_slowly(
     limiter: &LimiterProcess,
     other_client: &mut TcpStream,
     request: &str,
 ) -> Option<HttpMessage> {
     let mut client = limiter.connect();
-    client.set_nodelay(true).expect("no delay");
+    client.set_nodelay(true).expect("a socket without delay");
     let started_at = Instant::now();
     for (index, byte) in request.bytes().enumerate() {
         client.write_all(&[byte]).ok()?;
--- a/limiter/tests/client_disconnects.rs
+++ b/limiter/tests/client_disconnects.rs
@@ -1,7 +1,7 @@
-//! Attempts after a disconnect: no attempt, first or further, may begin more than 0.1 s after a client closed
-//! its connection. Each test has a client disconnect before an event that would make the limiter forward the
-//! client's request. Grants of quotas as events are tested in `client_disconnects_before_grants.rs`, and the
-//! detection of disconnects in `disconnect_detection.rs`.
+//! Attempts after a disconnect: neither a first attempt nor a retry may begin more than 0.1 s after the
+//! client has closed its connection. In most tests, a client disconnects before an event that would make the
+//! limiter forward the client's request. `client_disconnects_before_grants.rs` tests quota grants as such
+//! events, and `disconnect_detection.rs` tests the detection of disconnects.
 
 mod stubs;
 
@@ -12,9 +12,9 @@
 
 use stubs::*;
 
-/// Returns the outcome of a race in which the first attempt of the request `c-1` ends without a response, and
-/// the request `c-2` follows: `c-1` is retried only if its client stays connected.
-fn retried_only_if_connected(behaviour: ClientBehaviour) -> RaceOutcome {
+/// Returns the expected outcome of a race in which the first attempt of the request `c-1` fails or is
+/// rejected, and the request `c-2` follows: `c-1` is retried only if its client stays connected.
+fn outcome_with_retry_only_if_connected(behaviour: ClientBehaviour) -> RaceOutcome {
     match behaviour {
         ClientBehaviour::StaysConnected => RaceOutcome::served(&["c-1", "c-1", "c-2"]),
         ClientBehaviour::DisconnectsBeforeEvent | ClientBehaviour::DisconnectsDuringStall => {
@@ -23,9 +23,9 @@
     }
 }
 
-/// Returns the closure of stub servers that answer each request with 200, except the first one. The first
-/// request waits at the gate and is answered by `respond_first`.
-fn respond_first_at_gate(
+/// Returns a closure that the stub servers of a test share. The closure answers each request with 200, except
+/// the first one: the first request waits until the gate is open and is answered by `respond_first`.
+fn hold_first_request_at_gate(
     gate: &Gate,
     respond_first: impl Fn(&mut TcpStream) -> bool + Send + Sync + 'static,
 ) -> impl Fn(&HttpMessage, &mut TcpStream) -> bool + Send + Sync + 'static {
@@ -42,7 +42,7 @@
 }
 
 /// A client disconnects while a server processes its request. The response, which arrives later, must not
-/// reach another client, although the connection to the server may be pooled.
+/// reach another client, although the connection to the server may be reused.
 #[test]
 fn a_late_response_to_a_disconnected_client_does_not_reach_other_clients() {
     let server = StubServer::new(|request, stream| {
@@ -72,7 +72,11 @@
     for behaviour in ClientBehaviour::ALL {
         for is_reset in [false, true] {
             let outcome = race_with_failed_attempt(behaviour, is_reset);
-            assert_eq!(outcome, retried_only_if_connected(behaviour), "{behaviour:?}, reset: {is_reset}");
+            assert_eq!(
+                outcome,
+                outcome_with_retry_only_if_connected(behaviour),
+                "{behaviour:?}, reset: {is_reset}"
+            );
         }
     }
 }
@@ -81,7 +85,7 @@
 /// connection of the first attempt.
 fn race_with_failed_attempt(behaviour: ClientBehaviour, is_reset: bool) -> RaceOutcome {
     let gate = Gate::default();
-    let respond = respond_first_at_gate(&gate, move |stream| {
+    let respond = hold_first_request_at_gate(&gate, move |stream| {
         if is_reset {
             reset_on_close(stream);
         }
@@ -96,13 +100,13 @@
 
 /// Latency objective of the requests whose attempts time out.
 const LATENCY_OBJECTIVE_MS: u32 = 5000;
-/// How long the limiter is stopped while an attempt times out, in milliseconds: longer than 0.4 of the
-/// latency objective, after which an attempt without a response times out.
+/// How long the limiter is stopped while an attempt times out, in milliseconds. This is longer than 0.4 of
+/// the latency objective, after which an attempt without a response times out.
 const ATTEMPT_TIMEOUT_STALL_MS: u64 = 2300;
 
-/// The first attempt of each request has no response, and is cancelled and retried at the other server
-/// after 0.4 of the latency objective. The request of a disconnected client is not retried; that of
-/// the next client, `c-2`, is.
+/// The first attempt of each request receives no response. After 0.4 of the latency objective, the limiter
+/// cancels the attempt and retries the request at the other server. The request of a disconnected client must
+/// not be retried. The request of the next client, `c-2`, is retried.
 #[test]
 fn a_timed_out_attempt_is_not_retried_for_a_disconnected_client() {
     for behaviour in ClientBehaviour::DISCONNECTS {
@@ -135,13 +139,14 @@
     }
 }
 
-/// A server drains and rejects a request, which is queued because no other server serves. When the server
-/// serves again, the request is forwarded if its client is connected, and not if its client has disconnected.
+/// A draining server rejects a request, which is queued because no other server is serving. When the server
+/// is serving again, the request is forwarded if its client is connected, and not if its client has
+/// disconnected.
 #[test]
 fn a_queued_request_is_not_forwarded_for_a_disconnected_client() {
     for behaviour in ClientBehaviour::ALL {
         let gate = Gate::default();
-        let respond = respond_first_at_gate(&gate, write_rejection);
+        let respond = hold_first_request_at_gate(&gate, write_rejection);
         let request = request_with_long_timeout("c-1");
         let InFlightRequest { servers, limiter, client } =
             InFlightRequest::start(1, respond, &request, allow_long_pending_requests);
@@ -152,7 +157,7 @@
         wait_for("the connection to the draining server to be closed", || {
             server.num_closed_connections() == 1
         });
-        assert!(has_pending_request(&limiter), "the request is not queued");
+        assert!(has_pending_request(&limiter), "the request is no longer pending");
         let client_status = race_client_with_event(&limiter, client, behaviour, || {
             limiter.discovery.send(&list_change(3, &[serving("s-1", server)]));
         });
@@ -160,14 +165,14 @@
         assert_eq!(limiter.request(&request_with_long_timeout("c-2")).status, 200);
         let outcome =
             RaceOutcome { client_status, received_ids: shut_down_and_collect_ids(limiter, &servers) };
-        assert_eq!(outcome, retried_only_if_connected(behaviour), "{behaviour:?}");
+        assert_eq!(outcome, outcome_with_retry_only_if_connected(behaviour), "{behaviour:?}");
     }
 }
 
 /// The order in which a client with two pipelined requests disconnects and a server
 /// responds to the first one.
 #[derive(Clone, Copy, Debug)]
-enum PipelinedOrder {
+enum DisconnectOrder {
     /// The limiter detects the disconnect before the server responds.
     DisconnectDetectedBeforeResponse,
     /// The client disconnects before the server responds. The limiter is stopped and
@@ -178,14 +183,14 @@
     ResponseBeforeDisconnectDuringStall,
 }
 
-/// A client pipelines two requests and disconnects when the server rejects or answers the first one, in
-/// either order. A rejected first request must not be retried, and the second one must not be forwarded.
+/// A client pipelines two requests and disconnects before or after the server rejects or answers the first
+/// one. A rejected first request must not be retried, and the second request must not be forwarded.
 #[test]
 fn a_pipelined_request_is_not_forwarded_for_a_disconnected_client() {
     for order in [
-        PipelinedOrder::DisconnectDetectedBeforeResponse,
-        PipelinedOrder::DisconnectBeforeResponseDuringStall,
-        PipelinedOrder::ResponseBeforeDisconnectDuringStall,
+        DisconnectOrder::DisconnectDetectedBeforeResponse,
+        DisconnectOrder::DisconnectBeforeResponseDuringStall,
+        DisconnectOrder::ResponseBeforeDisconnectDuringStall,
     ] {
         for is_rejected in [true, false] {
             let received_ids = run_pipelined_requests(order, is_rejected);
@@ -194,12 +199,12 @@
     }
 }
 
-/// Runs a limiter with two pipelined requests in this order of events, then sends the request `c-2` of
-/// another client. Returns the ids of the requests that the server received.
-fn run_pipelined_requests(order: PipelinedOrder, is_rejected: bool) -> Vec<String> {
+/// Runs a limiter whose client sends two pipelined requests and disconnects in this order of events, and
+/// sends the request `c-2` of another client. Returns the ids of the requests that the server received.
+fn run_pipelined_requests(order: DisconnectOrder, is_rejected: bool) -> Vec<String> {
     let gate = Gate::default();
     let response_written = Gate::default();
-    let respond = respond_first_at_gate(&gate, {
+    let respond = hold_first_request_at_gate(&gate, {
         let response_written = response_written.clone();
         move |stream| {
             let is_open = if is_rejected { write_rejection(stream) } else { write_ok(stream, "fine") };
@@ -223,19 +228,19 @@
 fn race_client_with_response(
     limiter: &LimiterProcess,
     client: TcpStream,
-    order: PipelinedOrder,
+    order: DisconnectOrder,
     trigger_response: impl FnOnce(),
 ) {
     match order {
-        PipelinedOrder::DisconnectDetectedBeforeResponse => {
+        DisconnectOrder::DisconnectDetectedBeforeResponse => {
             let behaviour = ClientBehaviour::DisconnectsBeforeEvent;
             race_client_with_event(limiter, client, behaviour, trigger_response);
         }
-        PipelinedOrder::DisconnectBeforeResponseDuringStall => {
+        DisconnectOrder::DisconnectBeforeResponseDuringStall => {
             let behaviour = ClientBehaviour::DisconnectsDuringStall;
             race_client_with_event(limiter, client, behaviour, trigger_response);
         }
-        PipelinedOrder::ResponseBeforeDisconnectDuringStall => {
+        DisconnectOrder::ResponseBeforeDisconnectDuringStall => {
             limiter.signal("STOP");
             trigger_response();
             let behaviour = ClientBehaviour::DisconnectsDuringStall;
--- a/limiter/tests/client_disconnects_before_grants.rs
+++ b/limiter/tests/client_disconnects_before_grants.rs
@@ -1,16 +1,16 @@
-//! Quotas after a disconnect: a request that waits for a quota owner is not forwarded more than 0.1 s after
-//! its client closed the connection, whether the owner grants it or does not reply.
+//! Quota requests after a disconnect: a request that waits for a quota owner is not forwarded more than 0.1 s
+//! after its client has closed the connection, whether an owner grants the units or no owner replies.
 
 mod stubs;
 
 use stubs::*;
 
 /// A quota owner grants the units of a request after the client has disconnected. Forwarding the request
-/// would spend the units and a server's time for no client.
+/// would waste the units and the capacity of a server.
 #[test]
-fn a_late_grant_forwards_nothing_for_a_disconnected_client() {
-    // A busy machine may delay the grant until the limiter has stopped waiting for its
-    // owners. Such a run is repeated.
+fn a_late_grant_does_not_forward_the_request_of_a_disconnected_client() {
+    // On a busy machine, the grant may arrive after the limiter has stopped waiting for its owners. Such a
+    // run is repeated.
     wait_for("a grant in time", || {
         race_with_grant(ClientBehaviour::StaysConnected) == RaceOutcome::served(&["c-1"])
     });
@@ -37,13 +37,13 @@
     RaceOutcome { client_status, received_ids: shut_down_and_collect_ids(limiter, &[server]) }
 }
 
-/// No quota owner replies, and the limiter stops waiting for them after the client has disconnected. From
-/// then on the even share of the quota admits requests: it must not admit the request of the disconnected
-/// client, and does admit the next one.
+/// No quota owner replies, and the limiter stops waiting for the owners after the client has disconnected.
+/// From then on, the limiter admits requests against its even share of the quota: it must not admit the
+/// request of the disconnected client, and it admits the next one.
 #[test]
-fn unresponsive_quota_owners_forward_nothing_for_a_disconnected_client() {
+fn the_even_share_does_not_forward_the_request_of_a_disconnected_client() {
     let mut received_ids = None;
-    // A busy machine may stop the limiter only after it has forwarded the request. Such a run is repeated.
+    // On a busy machine, the limiter may forward the request before it is stopped. Such a run is repeated.
     wait_for("a request that is pending when the limiter is stopped", || {
         received_ids = race_with_unresponsive_quota_owners();
         received_ids.is_some()
@@ -51,9 +51,9 @@
     assert_eq!(received_ids, Some(vec!["c-2".to_string()]));
 }
 
-/// Runs a limiter whose client disconnects before all quota owners have timed out. Returns the ids
-/// of the requests that the server received, or `None` if the client's request was forwarded before
-/// the limiter was stopped.
+/// Runs a limiter whose client disconnects before the limiter has stopped waiting for its quota owners.
+/// Returns the ids of the requests that the server received, or `None` if the client's request was forwarded
+/// before the limiter was stopped.
 fn race_with_unresponsive_quota_owners() -> Option<Vec<String>> {
     let server = StubServer::responding_with("fine");
     let MemberWithQuotaOwner { limiter, quota_owner } =
--- a/limiter/tests/disconnect_detection.rs
+++ b/limiter/tests/disconnect_detection.rs
@@ -1,6 +1,6 @@
-//! Detection of disconnects: a limiter notices that a client closed or reset its connection, whatever else is
-//! to be read on the connection, and forwards nothing for the client. What follows from a detected disconnect
-//! is tested in `client_disconnects.rs`.
+//! Detection of disconnects: a limiter detects that a client has closed or reset its connection, even if
+//! unread bytes precede the end of the connection, and forwards nothing for this client.
+//! `client_disconnects.rs` tests what follows from a detected disconnect.
 
 mod stubs;
 
@@ -15,7 +15,7 @@
 #[derive(Clone, Copy, Debug)]
 struct UnreadBytesCase {
     num_bytes: usize,
-    /// The client closes only its direction of the connection.
+    /// Whether the client closes only its direction of the connection.
     is_half_closed: bool,
 }
 
@@ -24,20 +24,20 @@
     UnreadBytesCase { num_bytes: 12, is_half_closed: false },
     UnreadBytesCase { num_bytes: 12, is_half_closed: true },
     UnreadBytesCase { num_bytes: 20_000, is_half_closed: false },
-    // More than the limiter reads ahead of each connection in any case (32 KiB).
+    // More than the 32 KiB that the limiter may always read ahead on each connection.
     UnreadBytesCase { num_bytes: 300_000, is_half_closed: true },
 ];
 
 /// A client with a queued request sends more bytes and disconnects. The end of the connection follows bytes
-/// that are not due to be read, and must be detected nevertheless, so that no server executes a request whose
-/// client has disconnected.
+/// that the limiter need not read yet. The limiter must detect the disconnect nevertheless, so that no server
+/// executes a request whose client has disconnected.
 #[test]
 fn a_disconnect_is_detected_after_unread_bytes() {
     for case in UNREAD_BYTES_CASES {
         let QueuedRequest { limiter, mut client } = QueuedRequest::start();
         let unread_bytes = vec![b'x'; case.num_bytes];
-        // The bytes are written in two parts, as the first bytes after a request are read by the code that
-        // looks for the head of the next request.
+        // The bytes are written in two parts, because the first bytes after a request are read by the code
+        // that looks for the head of the next request.
         let (first_part, second_part) = unread_bytes.split_at(case.num_bytes / 2);
         client.write_all(first_part).expect("a written first part");
         assert!(has_pending_request(&limiter));
@@ -52,8 +52,8 @@
     }
 }
 
-/// A client with a pending request closes its connection while a response to an earlier request is still
-/// unread, so that the connection is reset. A reset must be detected as a close is.
+/// A client with a pending request closes its connection while the response to an earlier request is still
+/// unread, which resets the connection. The limiter must detect a reset in the same way as a close.
 #[test]
 fn a_reset_by_the_client_is_detected() {
     let limiter = LimiterProcess::with_endpoints(&[], allow_long_pending_requests);
@@ -65,7 +65,7 @@
     assert_nothing_is_forwarded(&limiter, "after a reset");
 }
 
-/// Announces a server, and asserts that the server receives no request once the limiter is ready.
+/// Announces a server, waits until the limiter is ready, and asserts that the server has received no request.
 fn assert_nothing_is_forwarded(limiter: &LimiterProcess, case: &str) {
     let server = StubServer::responding_with("fine");
     limiter.discovery.send(&list_change(2, &[serving("s-1", &server)]));
@@ -83,25 +83,26 @@
 
 /// Many clients send complete requests and disconnect while the limiter is stopped, by closing, half closing
 /// or resetting their connections. The limiter reads each request together with the end of its connection,
-/// more than 0.1 s later, and must forward none of them, whether connections to the server are pooled or not.
+/// more than 0.1 s after the disconnect. It must forward none of these requests, whether connections to the
+/// server are pooled or not.
 #[test]
-fn a_burst_of_disconnecting_clients_forwards_nothing() {
+fn no_request_of_a_burst_of_disconnected_clients_is_forwarded() {
     for burst in BURSTS {
         let forwarded_ids = burst.run_and_collect_forwarded_ids();
         assert!(forwarded_ids.is_empty(), "{burst:?}: {forwarded_ids:?}");
     }
 }
 
-/// Clients of a burst that close or half close their connections.
+/// Number of clients in a burst that close or half close their connections.
 const NUM_CLOSING_CLIENTS: usize = 75;
-/// Clients of a burst that reset their connections.
+/// Number of clients in a burst that reset their connections.
 const NUM_RESETTING_CLIENTS: usize = 25;
 /// Part of the correlation ids of all requests whose clients disconnect.
 const BURST_ID: &str = "burst";
 /// Prefix of the correlation ids of the requests that open connections to the server before the burst.
 const WARM_UP_ID: &str = "c-warm-up";
-/// How long the limiter stays stopped after the last client has disconnected, in milliseconds: longer than
-/// the 0.1 s for which a request may still be forwarded.
+/// How long the limiter stays stopped after the last client has disconnected, in milliseconds. This is longer
+/// than the 0.1 s for which a request may still be forwarded after its client has disconnected.
 const STALL_AFTER_BURST_MS: u64 = 200;
 
 /// Clients that send a request and disconnect while the limiter is stopped.
@@ -109,7 +110,7 @@
 struct DisconnectingBurst {
     /// Length of the body of each request. `None` for requests without a body.
     body_bytes: Option<usize>,
-    /// Idle connections to the server when the burst begins.
+    /// Number of idle connections to the server when the burst begins.
     num_pooled_connections: usize,
 }
 
@@ -136,8 +137,8 @@
         limiter.signal("STOP");
         let half_closed_clients = self.send_and_close(&limiter);
         self.send_and_reset(resetting_clients);
-        // This sleep awaits no event: it makes the disconnects so old that no request
-        // may be forwarded any more.
+        // This sleep waits for no event. After it, the clients have been disconnected for so long that their
+        // requests may no longer be forwarded.
         sleep_ms(STALL_AFTER_BURST_MS);
         limiter.signal("CONT");
 
@@ -177,9 +178,9 @@
         }
     }
 
-    /// Sends a request on each of the connections that are closed or half closed. The clients take
-    /// turns: one half closes, one half closes after another, pipelined request, one closes. Returns the
-    /// half closed connections.
+    /// Sends a request on each of the connections that are closed or half closed. Of every three clients, one
+    /// half closes its connection after the request, one half closes it after a second, pipelined request,
+    /// and one closes it. Returns the half closed connections.
     fn send_and_close(&self, limiter: &LimiterProcess) -> Vec<TcpStream> {
         let mut half_closed_clients = Vec::new();
         for number in 0..NUM_CLOSING_CLIENTS {
@@ -196,7 +197,7 @@
         half_closed_clients
     }
 
-    /// Sends a request on each of these connections and resets the connection.
+    /// Sends a request on each of these connections and resets them by closing them.
     fn send_and_reset(&self, resetting_clients: Vec<TcpStream>) {
         for (number, mut client) in (NUM_CLOSING_CLIENTS..).zip(resetting_clients) {
             client.write_all(self.request(number).as_bytes()).expect("a written request");
--- a/limiter/tests/http_front_end.rs
+++ b/limiter/tests/http_front_end.rs
@@ -10,7 +10,7 @@
 use stubs::*;
 
 /// Checks both directions: the server receives the method, path, headers and body that the client sent, and
-/// the client receives a response that is too large for one read.
+/// the client receives a response that is too large for a single read.
 #[test]
 fn request_and_response_bodies_are_forwarded_unchanged() {
     let response_body: String = ('a'..='z').cycle().take(50_000).collect();
@@ -76,7 +76,7 @@
     ]
 }
 
-/// Guards against invalid input that reaches the decisions or a server, or that terminates the process.
+/// Guards against invalid input that reaches the decision logic or a server, or that terminates the process.
 #[test]
 fn invalid_requests_are_rejected_immediately_and_not_forwarded() {
     let server = StubServer::responding_with("fine");
@@ -87,12 +87,12 @@
         assert!(sent_at.elapsed() < Duration::from_secs(3), "{text:.300}");
     }
     assert_eq!(limiter.request(&idempotent_request()).status, 200);
-    assert_eq!(server.num_received(), 1, "only the valid request reaches the server");
+    assert_eq!(server.num_received(), 1, "only the valid request may reach the server");
 }
 
-/// Guards against request smuggling: two HTTP readers that trust different framing headers disagree about
-/// where a request ends, so that one of them reads a part of its body as another request. Each of these
-/// requests is rejected, and the bytes after it are not read as a request.
+/// Guards against request smuggling: two HTTP parsers that use different framing headers disagree about where
+/// a request ends, so that one of them reads a part of its body as another request. Each of these requests
+/// must be rejected, and the bytes after it must not be read as a request.
 #[test]
 fn ambiguous_framing_is_rejected_and_the_connection_closed() {
     let server = StubServer::responding_with("fine");
@@ -124,21 +124,21 @@
     assert!(server.received_requests().is_empty(), "{} requests were forwarded", server.num_received());
 }
 
-/// Servers cannot distinguish two requests with one correlation id, so the second request is rejected while
-/// the first is pending. The id may be used again once the first request is answered.
+/// Servers cannot distinguish two requests with the same correlation id, so the second request is rejected
+/// while the first is pending. The id may be used again after the first request has been answered.
 #[test]
-fn the_correlation_id_of_a_pending_request_is_rejected() {
+fn a_second_request_with_the_correlation_id_of_a_pending_one_is_rejected() {
     let InFlightRequest { servers, limiter, client: mut first_client } =
         InFlightRequest::start_at_slow_server();
     let same_id_of_other_customer = idempotent_request().replace(DEFAULT_CUSTOMER, "00000000b4d65522");
     assert_eq!(limiter.request(&same_id_of_other_customer).status, 409);
     assert_eq!(read_response(&mut first_client).status, 200);
     assert_eq!(servers[0].num_received(), 1);
-    assert_eq!(limiter.request(&idempotent_request()).status, 200, "the first request is answered");
+    assert_eq!(limiter.request(&idempotent_request()).status, 200, "the correlation id may be used again");
 }
 
-/// A client pipelines requests while its first request waits for a server. The limiter reads them ahead; none
-/// of them may be lost or reordered.
+/// A client pipelines requests while its first request waits for a server. The limiter reads the pipelined
+/// requests ahead, and must neither lose nor reorder any of them.
 #[test]
 fn pipelined_requests_are_answered_in_order() {
     const NUM_PIPELINED: usize = 20;
@@ -146,7 +146,7 @@
     let QueuedRequest { limiter, mut client } = QueuedRequest::start();
     for index in 0..NUM_PIPELINED {
         let request = request_with_key(&format!("k{index}"), &format!("body {index}"));
-        client.write_all(request.as_bytes()).expect("write");
+        client.write_all(request.as_bytes()).expect("a written request");
     }
     limiter.discovery.send(&list_change(2, &[serving("s-1", &server)]));
     assert_eq!(read_response(&mut client).status, 200);
@@ -155,8 +155,8 @@
     }
 }
 
-/// A client writes a large batch of requests and reads the responses afterwards. The limiter has read more of
-/// this connection than it reads ahead for a usual one, and must answer every request that it has read.
+/// A client writes a large batch of requests and reads the responses afterwards. The limiter reads more bytes
+/// ahead on this connection than on a usual one, and must answer every request that it has read.
 #[test]
 fn all_pipelined_requests_of_a_large_batch_are_answered() {
     const NUM_REQUESTS: usize = 500;
