--- a/limiter/tests/connection_pool.rs
+++ b/limiter/tests/connection_pool.rs
@@ -1,5 +1,5 @@
-//! Pooled connections to servers. They are reused for one request after another, and never if a response
-//! could be lost on a connection or be taken for the response to another request.
+//! Pooled connections to servers: consecutive requests reuse a connection, unless a request could be lost on
+//! the connection or could receive the response to another request.
 
 mod stubs;
 
@@ -8,10 +8,10 @@
 
 use stubs::*;
 
-/// How long after a response the limiter has certainly pooled the connection, in milliseconds.
+/// Time in milliseconds within which the limiter certainly returns a connection to its pool after a response.
 const POOLED_AFTER_MS: u64 = 100;
-/// Time between two requests in milliseconds, so that a connection can be reused. The limiter reuses a
-/// connection 10 ms after its last response.
+/// Time between two requests, in milliseconds. The limiter may reuse a connection 10 ms after its last
+/// response.
 const REQUEST_INTERVAL_MS: u64 = 50;
 
 /// A server closes each connection after one response, while the connection is pooled. The next request must
@@ -34,9 +34,9 @@
     }
 }
 
-/// Requests that follow one another use the same connection, as a connect for each would cost time. A server
-/// that closes idle connections after 3 s could close one at the moment of its reuse, so that the limiter
-/// closes an idle connection itself. The next request opens a new connection.
+/// Consecutive requests reuse a connection, because a connect for each of them would take time. A server that
+/// closes idle connections after 3 s could close one at the moment at which it is reused, so the limiter
+/// closes an idle connection itself before that. The next request opens a new connection.
 #[test]
 fn pooled_connections_are_reused_and_closed_when_idle() {
     let server = StubServer::responding_with("fine");
@@ -78,10 +78,10 @@
 }
 
 /// A server is removed while a request is in flight, and another server is announced at the same address. The
-/// response of the old server is used, and its connection is closed and not pooled: the next request goes to
-/// the new server on a new connection.
+/// client receives the response of the removed server, whose connection is closed and not pooled: the next
+/// request is sent to the new server on a new connection.
 #[test]
-fn a_new_server_does_not_inherit_connections() {
+fn connections_to_a_removed_server_are_not_reused_for_its_successor() {
     let InFlightRequest { servers, limiter, mut client } = InFlightRequest::start_at_slow_server();
     let server = &servers[0];
     let change = [removed_at("s-1", server.addr), serving("s-2", server)];
@@ -91,5 +91,5 @@
     sleep_ms(REQUEST_INTERVAL_MS);
     assert_eq!(limiter.request(&idempotent_request()).status, 200);
     assert_eq!(server.num_connections(), 2);
-    wait_for("the connection to the old server to be closed", || server.num_closed_connections() == 1);
+    wait_for("the connection to the removed server to be closed", || server.num_closed_connections() == 1);
 }
--- a/limiter/tests/malformed_responses.rs
+++ b/limiter/tests/malformed_responses.rs
@@ -1,5 +1,5 @@
-//! Malformed responses: truncated, reset, endless or oversized. A part of a response is never served, is
-//! never given to another request, and never proves that the request was not executed.
+//! Malformed responses: truncated, reset, endless or oversized. An incomplete response is never served, is
+//! never used for another request, and never proves that the request was not executed.
 
 mod stubs;
 
@@ -9,16 +9,16 @@
 
 use stubs::*;
 
-/// A response whose end is the end of its connection.
+/// A response without a length, which ends when its connection ends.
 const WITHOUT_LENGTH: &str = "HTTP/1.1 200 OK\r\n\r\npart";
 const TRUNCATED_BODY: &str = "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\npart";
 const TRUNCATED_CHUNKED_BODY: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\npart\r\n";
 const INCOMPLETE_STATUS_LINE: &str = "HTTP/1.1 20";
 const INCOMPLETE_HEADER: &str = "HTTP/1.1 200 OK\r\nContent-Le";
 
-/// Checks the attempts of the one request with the key `k`: at most three, as the settings allow, each with
-/// its key.
-fn assert_retried_with_key(attempts: &[HttpMessage]) {
+/// Asserts that these are all attempts of the request with the key `k`: one to three, as the settings allow,
+/// each of which carries the key.
+fn assert_attempts_carry_key(attempts: &[HttpMessage]) {
     assert!((1..=3).contains(&attempts.len()), "{} attempts", attempts.len());
     for attempt in attempts {
         assert_eq!(attempt.header("idempotency-key").as_deref(), Some("k"));
@@ -32,9 +32,9 @@
     attempts
 }
 
-/// Returns the status of the only response to a request. The next response on the same connection must be the
-/// response to the next request, which shows that the first request got exactly one.
-fn status_of_only_response(limiter: &LimiterProcess, request: &str) -> u16 {
+/// Sends a request and returns the status of its response. Asserts that the request receives exactly one
+/// response: the next response on the connection must be that to the next request.
+fn status_of_single_response(limiter: &LimiterProcess, request: &str) -> u16 {
     let mut client = limiter.connect();
     let status = send_and_receive(&mut client, request).status;
     let next_response = send_and_receive(&mut client, &request_with_key("fine", "fine"));
@@ -43,9 +43,11 @@
     status
 }
 
-/// Waits until all connections to the server are closed but the one that may be in the pool.
-fn wait_attempts_closed(server: &StubServer) {
-    wait_for("the attempts to be closed", || server.num_closed_connections() + 1 >= server.num_connections());
+/// Waits until at most one connection to the server is open, which may be in the pool.
+fn wait_until_attempts_closed(server: &StubServer) {
+    wait_for("the connections of the attempts to be closed", || {
+        server.num_closed_connections() + 1 >= server.num_connections()
+    });
 }
 
 /// How a server terminates a connection.
@@ -55,9 +57,9 @@
     Reset,
 }
 
-/// Has a server write a text in place of a response and terminate the connection, immediately or after a
-/// moment. The request may have been executed: a request with a key fails, and its retries carry the key. An
-/// idempotent request is rejected.
+/// Starts a server that writes this text instead of a complete response and terminates the connection,
+/// immediately or after 40 ms. The server may have executed the request: a request with an idempotency key
+/// fails, and its retries carry the key. An idempotent request is rejected.
 fn assert_incomplete_response_is_not_served(text: &'static str, termination: Termination) {
     for pause_before_termination_ms in [0, 40] {
         let server = StubServer::new(move |_, stream| {
@@ -71,7 +73,7 @@
         });
         let limiter = LimiterProcess::in_front_of(&server);
         assert_eq!(limiter.request(&request_with_key("k", "x")).status, 502, "{text:?}");
-        assert_retried_with_key(&attempts_of_request_x(&server));
+        assert_attempts_carry_key(&attempts_of_request_x(&server));
         assert_eq!(limiter.request(&idempotent_request()).status, 429, "{text:?}");
     }
 }
@@ -85,18 +87,18 @@
     }
 }
 
-/// An incomplete status line or head does not tell whether the request was executed, even if its first bytes
+/// An incomplete status line or head does not prove whether the request was executed, even if its first bytes
 /// look like those of a successful response.
 #[test]
-fn an_incomplete_response_head_is_not_a_response() {
+fn an_incomplete_response_head_is_not_served() {
     for text in [INCOMPLETE_STATUS_LINE, INCOMPLETE_HEADER] {
         assert_incomplete_response_is_not_served(text, Termination::Close);
         assert_incomplete_response_is_not_served(text, Termination::Reset);
     }
 }
 
-/// Guards against a part of a body that is served as a response, and against an incomplete exchange that
-/// counts as proof that the request was not executed.
+/// Guards against serving a part of a body as a response, and against treating an incomplete or missing
+/// response as proof that the request was not executed.
 #[test]
 fn a_truncated_or_oversized_response_is_not_served() {
     let oversized = format!("HTTP/1.1 200 OK\r\nContent-Length: 70000\r\n\r\n{}", "x".repeat(70_000));
@@ -109,11 +111,11 @@
         });
         let limiter = LimiterProcess::in_front_of(&server);
         assert_eq!(limiter.request(&request_with_key("k", "x")).status, 502);
-        assert_retried_with_key(&server.received_requests());
+        assert_attempts_carry_key(&server.received_requests());
     }
 }
 
-/// A graceful close completes a response without a length: all of the body is served, also if it arrives in
+/// A graceful close completes a response without a length: the entire body is served, even if it arrives in
 /// two parts.
 #[test]
 fn a_response_without_length_that_ends_gracefully_is_served() {
@@ -136,7 +138,7 @@
 }
 
 /// A server writes a chunked response slowly and without end. The attempts time out at the latency objective
-/// of the request: the client gets one response, and the connections to the server are closed.
+/// of the request: the client receives one response, and the connections to the server are closed.
 #[test]
 fn a_response_that_never_ends_times_out() {
     let server = StubServer::new(|request, stream| {
@@ -150,10 +152,10 @@
         false
     });
     let limiter = LimiterProcess::in_front_of(&server);
-    assert_eq!(status_of_only_response(&limiter, &request_with_key("k", "x")), 502);
-    assert_eq!(status_of_only_response(&limiter, &idempotent_request()), 429);
-    assert_retried_with_key(&attempts_of_request_x(&server));
-    wait_attempts_closed(&server);
+    assert_eq!(status_of_single_response(&limiter, &request_with_key("k", "x")), 502);
+    assert_eq!(status_of_single_response(&limiter, &idempotent_request()), 429);
+    assert_attempts_carry_key(&attempts_of_request_x(&server));
+    wait_until_attempts_closed(&server);
 }
 
 /// A server writes an incomplete status line on a pooled connection between two requests. The bytes of the
@@ -199,8 +201,9 @@
     repeated: String,
 }
 
-/// Returns a response for each part that a server can write without end: a body with a length, in chunks or
-/// without either, the headers, the value of one header, and interim responses.
+/// Returns an endless response for each part that a server can write without end: a body with a length, a
+/// chunked body, a body without a length or chunks, the headers, the value of one header, and interim
+/// responses.
 fn endless_responses() -> Vec<EndlessResponse> {
     let status_line = "HTTP/1.1 200 OK\r\n";
     let block = "x".repeat(1 << 16);
@@ -215,11 +218,11 @@
     ]
 }
 
-/// A server floods the limiter with an endless response. The limiter must close the connection, use no more
-/// than a quarter of the 192 MB that its configuration allows, and serve the next request.
+/// A server floods the limiter with an endless response. The limiter must close the connection, use less than
+/// 48 MiB, which is about a quarter of the 192 MB that its configuration allows, and serve the next request.
 #[test]
 fn an_endless_response_is_aborted_with_bounded_memory() {
-    const MAX_MEMORY_KB: u64 = 48 << 10;
+    const MAX_MEMORY_KIB: u64 = 48 << 10;
     for EndlessResponse { start, repeated } in endless_responses() {
         let case = format!("{start:?}");
         let server = StubServer::new(move |request, stream| {
@@ -231,10 +234,10 @@
             false
         });
         let limiter = LimiterProcess::in_front_of(&server);
-        assert_eq!(status_of_only_response(&limiter, &request_with_key("k", "x")), 502, "{case}");
-        assert_retried_with_key(&attempts_of_request_x(&server));
-        let memory_kb = limiter.peak_memory_kib();
-        assert!(memory_kb < MAX_MEMORY_KB, "{memory_kb} kB, {case}");
-        wait_attempts_closed(&server);
+        assert_eq!(status_of_single_response(&limiter, &request_with_key("k", "x")), 502, "{case}");
+        assert_attempts_carry_key(&attempts_of_request_x(&server));
+        let memory_kib = limiter.peak_memory_kib();
+        assert!(memory_kib < MAX_MEMORY_KIB, "{memory_kib} KiB, {case}");
+        wait_until_attempts_closed(&server);
     }
 }
--- a/limiter/tests/quotas.rs
+++ b/limiter/tests/quotas.rs
@@ -9,8 +9,8 @@
 use stubs::*;
 
 /// A request that costs more than the burst of its quota is rejected immediately, not at the client's
-/// deadline of 3 s. The Retry-After header advises the time in which the quota refills by the cost: 3 units
-/// at 2 units a second.
+/// deadline of 3 s. The Retry-After header states the time in which the quota refills by the cost of the
+/// request: 3 units at 2 units a second, which is 1.5 s.
 #[test]
 fn a_rejection_is_immediate_and_carries_retry_after() {
     let server = StubServer::responding_with("fine");
@@ -27,10 +27,10 @@
     assert!(server.received_requests().is_empty());
 }
 
-/// Invalid header values in requests of a valid customer must not consume the customer's quota. The plan has
-/// a burst of four units, and all of them must be left after the invalid requests.
+/// Requests of a valid customer with invalid header values must not consume the customer's quota. The plan
+/// has a burst of four units, all of which must be left after the invalid requests.
 #[test]
-fn invalid_header_values_do_not_change_the_quota_of_a_customer() {
+fn invalid_header_values_do_not_consume_the_quota_of_a_customer() {
     let server = StubServer::responding_with("fine");
     let limiter = LimiterProcess::with_server(&server, |configuration| {
         configuration.with_quota(r#""Rate":0.5,"StoreSize":4"#).with_max_cost_units(4)
@@ -58,8 +58,8 @@
     }
 }
 
-/// Sends two requests with an estimate of one unit each to a server that reports this actual cost, and checks
-/// the statuses. The plan has a burst of two units.
+/// Sends two requests, with an estimated cost of one unit each, to a server that reports this actual cost,
+/// and asserts the statuses. The plan has a burst of two units.
 fn assert_statuses_with_actual_cost(actual_cost: &'static str, expected_statuses: [u16; 2]) {
     let server = StubServer::new(move |_, stream| {
         write!(stream, "HTTP/1.1 200 OK\r\nX-True-Cost: {actual_cost}\r\nContent-Length: 0\r\n\r\n").is_ok()
@@ -73,9 +73,10 @@
     }
 }
 
-/// A request declares an estimated cost; the quota is charged with the actual cost that a successful response
-/// reports. An actual cost of 4 overdraws the burst of 2 units by 2, so that the next unit is available after
-/// 3 units at 0.25 units a second: 12 s. A cost that no request can have is ignored, and the estimate stands.
+/// A request declares an estimated cost, but the quota is charged with the actual cost that a successful
+/// response reports. An actual cost of 4 overdraws the burst of 2 units by 2, so that the next unit is
+/// available after 3 units have been refilled at 0.25 units a second: 12 s. An actual cost that no request
+/// can have is ignored, and the estimate is charged.
 #[test]
 fn the_quota_is_charged_with_the_actual_cost_of_a_response() {
     assert_statuses_with_actual_cost("4", [200, 429]);
@@ -85,34 +86,35 @@
     }
 }
 
-/// The most bytes of a gossip message.
+/// Maximum size of a gossip message, in bytes.
 const MAX_MESSAGE_BYTES: usize = 256;
 
-/// Sends datagrams that are no gossip messages: empty, too short, of the allowed length and too long.
+/// Sends datagrams that are not gossip messages: empty, too short, of an allowed length, and too long.
 fn send_malformed_datagrams(socket: &UdpSocket, limiter_address: SocketAddr) {
     for length in [0, 1, 64, MAX_MESSAGE_BYTES, MAX_MESSAGE_BYTES + 1, 4000] {
-        socket.send_to(&vec![0xfb; length], limiter_address).expect("send");
+        socket.send_to(&vec![0xfb; length], limiter_address).expect("a sent datagram");
     }
 }
 
-/// Malformed datagrams, of a peer or of an unknown sender, do not affect service. A quota request to a peer
+/// Malformed datagrams from a peer or from an unknown sender do not affect service. A quota request to a peer
 /// has a bounded size, and its source is the address by which peers identify this limiter.
 #[test]
 fn malformed_gossip_is_ignored_and_quota_requests_are_bounded() {
     let server = StubServer::responding_with("fine");
-    let peer = UdpSocket::bind("127.0.0.1:0").expect("bind");
-    peer.set_read_timeout(Some(Duration::from_secs(10))).expect("time-out");
-    let peer_address = peer.local_addr().expect("address");
-    // The socket is closed at once, so that the limiter can bind its address.
-    let limiter_address = UdpSocket::bind("127.0.0.1:0").expect("bind").local_addr().expect("address");
+    let peer = UdpSocket::bind("127.0.0.1:0").expect("a socket");
+    peer.set_read_timeout(Some(Duration::from_secs(10))).expect("a read timeout");
+    let peer_address = peer.local_addr().expect("a local address");
+    // The socket is closed immediately, so that the limiter can bind its address.
+    let limiter_address =
+        UdpSocket::bind("127.0.0.1:0").expect("a socket").local_addr().expect("a local address");
     let limiter = LimiterProcess::with_server(&server, |configuration| {
         configuration.with_peers(&[limiter_address, peer_address]).with_quota(r#""Rate":100,"StoreSize":100"#)
     });
-    let unknown_sender = UdpSocket::bind("127.0.0.1:0").expect("bind");
+    let unknown_sender = UdpSocket::bind("127.0.0.1:0").expect("a socket");
     send_malformed_datagrams(&unknown_sender, limiter_address);
     send_malformed_datagrams(&peer, limiter_address);
-    // Either limiter owns the quotas of some of these customers: for those of the peer, which never replies,
-    // the limiter sends it a quota request.
+    // Each of the two limiters owns the quotas of some of these customers. For the customers of the peer, the
+    // limiter sends the peer a quota request, which the peer never answers.
     for customer in 0..16 {
         let request = idempotent_request()
             .replace(DEFAULT_CUSTOMER, &format!("{customer:016x}"))
@@ -120,7 +122,7 @@
         assert_eq!(
             limiter.request(&request).status,
             200,
-            "the even share covers it while an owner is silent"
+            "the even share admits the request while an owner is silent"
         );
     }
     let mut buffer = [0; 1024];
--- a/limiter/tests/system_calls.rs
+++ b/limiter/tests/system_calls.rs
@@ -1,5 +1,5 @@
-//! System calls that fail, are interrupted or transfer only a part of their bytes, as Linux documents it.
-//! Every request is answered nevertheless, and the process runs until SIGTERM.
+//! System calls that fail, are interrupted or transfer only a part of their bytes, as the documentation of
+//! Linux allows. Every request is answered nevertheless, and the process runs until SIGTERM.
 
 mod stubs;
 
@@ -9,17 +9,17 @@
 
 use stubs::*;
 
-/// Clients that send requests at the same time.
+/// Number of clients that send requests at the same time.
 const NUM_CLIENTS: usize = 4;
-/// Requests of each client.
+/// Number of requests of each client.
 const REQUESTS_PER_CLIENT: usize = 150;
-/// Large enough to need several reads and writes.
+/// Length of each body in bytes, large enough to need several reads and writes.
 const BODY_BYTES: usize = 9_000;
 /// The longest time to a response: the 3 s that a client waits, and a margin for a busy machine.
 const MAX_RESPONSE_TIME: Duration = Duration::from_millis(3500);
 
-/// Starts the limiter in front of two servers that echo, with faults of `fault_shim`: the name of a variable
-/// and its value, which is a number of calls of 1000 for most faults.
+/// Starts the limiter in front of two servers that echo. `faults` contains environment variables of
+/// `fault_shim` and their values; for most faults, the value is the number of failing calls per 1000.
 fn start_with_faults(faults: &[(&str, &str)]) -> LimiterProcess {
     let servers = [StubServer::echoing(), StubServer::echoing()];
     let endpoints = [serving("s-1", &servers[0]), serving("s-2", &servers[1])];
@@ -37,8 +37,8 @@
     limiter
 }
 
-/// Returns the response to a request on a new connection, or nothing if the connection fails or ends without
-/// one.
+/// Returns the response to a request on a new connection, or `None` if the connection fails or ends without a
+/// response.
 fn try_exchange(limiter: &LimiterProcess, request: &str) -> Option<HttpMessage> {
     let mut stream = TcpStream::connect(limiter.addr).ok()?;
     stream.set_read_timeout(Some(WAIT_TIMEOUT)).ok()?;
@@ -62,13 +62,13 @@
 }
 
 impl ClientReport {
-    fn add(&mut self, other: ClientReport) {
+    fn merge(&mut self, other: ClientReport) {
         self.statuses.extend(other.statuses);
         self.num_unanswered += other.num_unanswered;
         self.max_response_time = self.max_response_time.max(other.max_response_time);
     }
 
-    /// Checks that every request was answered in time, with one of these statuses.
+    /// Asserts that every request was answered in time, with one of these statuses.
     fn assert_all_answered(&self, allowed_statuses: &[u16]) {
         let is_unexpected = |status: &&u16| !allowed_statuses.contains(status);
         let unexpected: Vec<&u16> = self.statuses.iter().filter(is_unexpected).collect();
@@ -79,14 +79,14 @@
     }
 }
 
-/// Sends the requests of one client, one after the other. The client reuses its connection until the limiter
+/// Sends the requests of one client, one after another. The client reuses its connection until the limiter
 /// closes it.
 fn send_requests(limiter: &LimiterProcess, client_number: usize) -> ClientReport {
     let mut report = ClientReport::default();
     let mut idle_connection: Option<TcpStream> = None;
     for request_number in 0..REQUESTS_PER_CLIENT {
         let mut stream = idle_connection.take().unwrap_or_else(|| limiter.connect());
-        stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("time-out");
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("a read timeout");
         let sent_at = Instant::now();
         let written = stream.write_all(request(client_number, request_number).as_bytes());
         let response = written.and_then(|()| read_message(&mut stream));
@@ -104,19 +104,19 @@
     report
 }
 
-/// Sends the requests of all clients, the clients at the same time, and returns their common report.
+/// Sends the requests of all clients at the same time, and returns the merged report.
 fn send_requests_of_all_clients(limiter: &LimiterProcess) -> ClientReport {
-    let mut common_report = ClientReport::default();
+    let mut merged_report = ClientReport::default();
     std::thread::scope(|scope| {
         let mut client_threads = Vec::new();
         for client_number in 0..NUM_CLIENTS {
             client_threads.push(scope.spawn(move || send_requests(limiter, client_number)));
         }
         for client_thread in client_threads {
-            common_report.add(client_thread.join().expect("the client's thread"));
+            merged_report.merge(client_thread.join().expect("the client's thread"));
         }
     });
-    common_report
+    merged_report
 }
 
 fn assert_shuts_down(mut limiter: LimiterProcess) {
@@ -141,7 +141,7 @@
     assert_shuts_down(limiter);
 }
 
-/// Three calls in ten are interrupted, also those by which the process learns of its signals.
+/// Three calls in ten are interrupted, including those by which the process is notified of signals.
 #[test]
 fn interrupted_calls_neither_lose_signals_nor_crash_the_process() {
     let limiter = start_with_faults(&[("FAULT_SHIM_SEED", "3"), ("FAULT_SHIM_INTERRUPT", "300")]);
@@ -165,10 +165,10 @@
     assert_shuts_down(limiter);
 }
 
-/// Connects and sockets fail because of this host, which proves nothing about a server: a request is retried
-/// or rejected, none fails, and no server is ejected.
+/// Connects and the creation of sockets fail because of the limiter's host, which proves nothing about a
+/// server: a request is retried or rejected, no request fails, and no server is ejected.
 #[test]
-fn local_connect_errors_do_not_count_against_the_server() {
+fn local_connect_errors_do_not_eject_a_server() {
     let limiter = start_with_faults(&[
         ("FAULT_SHIM_SEED", "5"),
         ("FAULT_SHIM_CONNECT", "300"),
@@ -179,7 +179,7 @@
     assert_shuts_down(limiter);
 }
 
-/// All faults occur at once, and the wall clock is stepped by an hour.
+/// All kinds of faults occur together, and the wall clock is repeatedly set back by an hour and corrected.
 #[test]
 fn all_faults_together_lose_no_response() {
     let limiter = start_with_faults(&[
@@ -196,7 +196,8 @@
     assert_shuts_down(limiter);
 }
 
-/// Six sockets in ten cannot be created while the process starts. The process must retry and start.
+/// While the process starts, six of ten sockets cannot be created. The process must retry and complete its
+/// start.
 #[test]
 fn transient_socket_errors_do_not_prevent_the_start() {
     for seed in ["1", "2", "3", "4", "5", "6"] {
