--- a/limiter/tests/discovery_watches.rs
+++ b/limiter/tests/discovery_watches.rs
@@ -1,17 +1,18 @@
-//! Watches on discovery: the limiter reopens a watch that ended, is silent or delivers invalid lists, and
-//! uses the answers of a slow discovery.
+//! Watches on discovery: the limiter reopens a watch that has ended, is silent or sends invalid lists, and
+//! uses late responses of a slow discovery.
 
 mod stubs;
 
 use stubs::*;
 
-/// Makes the limiter one of a deployment of hundreds, which has longer backoffs between watch requests.
-fn in_a_large_fleet(configuration: Configuration) -> Configuration {
+/// Makes the limiter part of a deployment of 300 limiters. The backoff between watch requests must not grow
+/// with their number.
+fn with_large_fleet(configuration: Configuration) -> Configuration {
     configuration.with_num_limiters(300)
 }
 
-/// The connection of a watch stays open, and discovery sends no heartbeats on it. The limiter must not rely
-/// on such a watch, which may never deliver a change, and opens another one.
+/// The connection of a watch stays open, but discovery sends no heartbeats on it. Such a watch may never
+/// deliver a change, so the limiter must open another one.
 #[test]
 fn a_silent_watch_is_reopened() {
     let limiter = LimiterProcess::without_servers();
@@ -19,15 +20,16 @@
     wait_for("the second watch", || limiter.discovery.num_opened_watches() >= 2);
 }
 
-/// Discovery stops responding, then recovers and announces that a server drains. The limiter keeps sending
-/// watch requests, so that it learns of the change at once. A backoff that grows with the fleet or with the
-/// number of failures would exceed the time for which requests may still be forwarded to the server.
+/// Discovery stops responding, and later recovers and announces that a server is draining. The limiter
+/// continues to send watch requests, so that it learns of the change immediately. A backoff that grows with
+/// the fleet or with the number of failures would exceed the time for which requests may still be forwarded
+/// to the server.
 #[test]
 fn an_unresponsive_discovery_is_polled_continuously() {
     let server_one = StubServer::responding_with("one");
     let server_two = StubServer::responding_with("two");
     let endpoints = [serving("s-1", &server_one), serving("s-2", &server_two)];
-    let limiter = LimiterProcess::with_endpoints(&endpoints, in_a_large_fleet);
+    let limiter = LimiterProcess::with_endpoints(&endpoints, with_large_fleet);
     let num_requests_before = limiter.discovery.num_watch_requests();
     limiter.discovery.stop_responding();
     // If the limiter waited for a response for as long as for a heartbeat (2.5 s), 12 requests would take
@@ -35,25 +37,25 @@
     wait_for("12 more watch requests", || limiter.discovery.num_watch_requests() >= num_requests_before + 12);
     limiter.discovery.resume_with(&list_change(2, &[draining_at("s-1", server_one.addr)]));
     limiter.wait_until_logged("state=draining");
-    server_one.assert_receives_nothing_during(|| limiter.assert_responses("two", 10));
+    server_one.assert_receives_nothing_during(|| limiter.assert_response_bodies("two", 10));
 }
 
-/// Discovery closes each watch as soon as it is opened. A limiter of a large fleet
-/// opens a new watch each time.
+/// Discovery closes each watch as soon as it is opened. A limiter of a large fleet opens a new watch each
+/// time.
 #[test]
 fn closed_watches_are_reopened() {
-    let limiter = LimiterProcess::with_endpoints(&[], in_a_large_fleet);
+    let limiter = LimiterProcess::with_endpoints(&[], with_large_fleet);
     for num_watches in 1..=12 {
         wait_for("the next watch", || limiter.discovery.num_opened_watches() >= num_watches);
         limiter.discovery.close_watches();
     }
 }
 
-/// Discovery sends a change that cannot be parsed, twice. The limiter requests the changes after
-/// its last version once more, then the complete list: a change that is invalid for good must
-/// not block all later ones.
+/// Discovery sends a change that cannot be parsed, twice. After the first time, the limiter requests the
+/// changes since its last version again. After the second time, it requests the complete list: a change that
+/// is permanently invalid must not block all later ones.
 #[test]
-fn an_invalid_change_is_followed_by_the_complete_list() {
+fn the_complete_list_is_requested_after_a_repeated_invalid_change() {
     let server = StubServer::responding_with("one");
     let limiter = LimiterProcess::without_servers();
     limiter.discovery.send(&list_change(7, &[serving("s-1", &server)]));
@@ -88,10 +90,10 @@
     SlowDiscoveryCase { mode: "subscribe", response_delay_ms: 4000 },
 ];
 
-/// Discovery answers every watch request after its timeout, as a crowded one may. If the limiter ignored the
-/// late answers, it would never receive a list.
+/// Discovery answers every watch request after the timeout of the request, as an overloaded discovery may. If
+/// the limiter ignored late responses, it would never receive a list.
 #[test]
-fn answers_of_a_slow_discovery_are_used() {
+fn late_discovery_responses_are_used() {
     for SlowDiscoveryCase { mode, response_delay_ms } in SLOW_DISCOVERY_CASES {
         let server = StubServer::responding_with("fine");
         let list = complete_list(1, &[serving("s-1", &server)]);
@@ -106,7 +108,7 @@
 }
 
 /// Discovery closes the first watch requests after their timeout, while later ones are in flight. The failure
-/// of a slow request must not abandon the newer request beside it, or the limiter would never receive a list.
+/// of a slow request must not cancel the newer request, or the limiter would never receive a list.
 #[test]
 fn a_slow_watch_request_that_fails_does_not_affect_the_next_one() {
     let server = StubServer::responding_with("fine");
--- a/limiter/tests/endpoint_list.rs
+++ b/limiter/tests/endpoint_list.rs
@@ -1,5 +1,5 @@
-//! The endpoint list of discovery: lists are parsed in any layout, and their changes are applied. The watches
-//! on which lists arrive are tested in `discovery_watches.rs`.
+//! The endpoint list of discovery: lists are parsed regardless of their whitespace, and changes of the list
+//! are applied. `discovery_watches.rs` tests the watches on which lists arrive.
 
 mod stubs;
 
@@ -7,8 +7,8 @@
 
 use stubs::*;
 
-/// A limiter has no serving server, then one, then none again. Only while there is one does the limiter
-/// report that it is ready, as it could serve no request otherwise.
+/// A limiter has no serving server, then one, then none again. The limiter must report that it is ready only
+/// while it has a serving server, because otherwise it could serve no request.
 #[test]
 fn a_limiter_is_ready_only_with_a_serving_server() {
     let server = StubServer::responding_with("fine");
@@ -18,11 +18,11 @@
     limiter.wait_until_ready();
     assert_eq!(limiter.request(&idempotent_request()).status, 200);
     limiter.discovery.send(&list_change(3, &[draining_at("s-1", server.addr)]));
-    wait_for("the limiter not to be ready", || !limiter.is_ready());
+    wait_for("the limiter to be no longer ready", || !limiter.is_ready());
 }
 
-/// One of two servers drains and is removed, and the other one restarts at a new address. A server that
-/// drains or was removed must receive no new requests, and requests must reach the new address.
+/// One of two servers drains and is removed, and the other one restarts at a new address. A draining or
+/// removed server must receive no new requests, and requests must reach the new address.
 #[test]
 fn changes_of_the_endpoint_list_are_applied() {
     let server_one = StubServer::responding_with("one");
@@ -32,11 +32,11 @@
 
     limiter.discovery.send(&list_change(2, &[draining_at("s-1", server_one.addr)]));
     limiter.wait_until_logged("state=draining");
-    server_one.assert_receives_nothing_during(|| limiter.assert_responses("two", 20));
+    server_one.assert_receives_nothing_during(|| limiter.assert_response_bodies("two", 20));
 
     limiter.discovery.send(&list_change(2, &[removed_at("s-1", server_one.addr)]));
     limiter.wait_until_logged("state=removed");
-    server_one.assert_receives_nothing_during(|| limiter.assert_responses("two", 20));
+    server_one.assert_receives_nothing_during(|| limiter.assert_response_bodies("two", 20));
 
     let restarted_server = StubServer::responding_with("restarted");
     limiter.discovery.send(&list_change(4, &[serving("s-2", &restarted_server)]));
@@ -44,11 +44,11 @@
     assert_eq!(limiter.request(&idempotent_request()).body, "restarted");
 }
 
-/// A line arrives in two chunks, a line is invalid, the watch is closed, and a list contains an invalid
-/// entry. The limiter joins the chunks, reopens the watch from the last complete version after an invalid
-/// line, and applies the valid entries of a list, so that it misses no change.
+/// A line arrives in two chunks, a line is invalid, a watch is closed, and a list contains an invalid entry.
+/// The limiter joins the chunks, reopens the watch from the last complete version after an invalid line, and
+/// applies the valid entries of a list, so that it misses no change.
 #[test]
-fn incomplete_lines_invalid_lines_and_closed_watches_lose_no_change() {
+fn split_lines_invalid_lines_and_closed_watches_lose_no_change() {
     let server = StubServer::responding_with("one");
     let limiter = LimiterProcess::without_servers();
     let change = list_change(7, &[serving("s-1", &server)]);
@@ -77,9 +77,9 @@
     format!("{{\"version\":9,\"full\":false,\"servers\":[{invalid_entry},{removal}]}}\n")
 }
 
-/// Discovery sends lists with line breaks and indentation, a list in two chunks, and two changes in
-/// one chunk. The limiter parses all of them on one watch, as the layout of a list and the ends of
-/// its chunks mean nothing.
+/// Discovery sends lists with line breaks and indentation, a list in two chunks, and two changes in one
+/// chunk. The limiter parses all of them on one watch, because neither whitespace nor the boundaries of
+/// chunks have a meaning.
 #[test]
 fn indented_lists_are_parsed() {
     let server_one = StubServer::responding_with("one");
@@ -106,8 +106,8 @@
     list.replace(',', ",\n    ").replace('{', "{\n  ").replace('}', "\n}")
 }
 
-/// Entries of the longest list. The largest fleet has 3,200 servers, and twice as many are on the list while
-/// all of them are replaced.
+/// Number of entries of the longest list. The largest fleet has 3,200 servers, and the list has twice as many
+/// entries while all of them are being replaced.
 const MAX_LISTED_SERVERS: usize = 6400;
 
 /// Discovery sends the complete list of the largest fleet, indented, which is the largest text that
@@ -135,7 +135,7 @@
     assert_eq!(limiter.request(&idempotent_request()).body, "fine");
 }
 
-/// Returns an entry of a list with each field on a line.
+/// Returns an entry of a list with each field on a line of its own.
 fn indented_entry(number: usize, address: &str, state: &str) -> String {
     let fields = [
         format!("\"id\": \"s-{number:08x}\""),
--- a/limiter/tests/reload.rs
+++ b/limiter/tests/reload.rs
@@ -4,12 +4,12 @@
 
 use stubs::*;
 
-/// The configuration names another discovery. Guards against a SIGHUP that terminates the process, and
-/// against changes that are lost while the watch moves: the limiter follows the old discovery until the new
-/// one has announced its list. The versions of the new list are unrelated to those of the old one, so the
-/// first watch request asks for no version.
+/// The configuration is changed to name another discovery. Guards against a SIGHUP that terminates the
+/// process, and against changes that are lost while the limiter switches its watch: the limiter applies the
+/// changes of the old discovery until the new one has announced its list. The versions of the new list are
+/// unrelated to those of the old one, so the first watch request to the new discovery names no version.
 #[test]
-fn a_reload_moves_the_watch_and_loses_no_change() {
+fn a_reload_switches_the_watch_and_loses_no_change() {
     let server_one = StubServer::responding_with("one");
     let server_two = StubServer::responding_with("two");
     let limiter = LimiterProcess::in_front_of(&server_one);
@@ -22,29 +22,29 @@
     let watch_requests = new_discovery.watch_request_heads();
     assert!(!watch_requests[0].contains("after="), "{watch_requests:?}");
 
-    assert!(is_served_by("one"), "the old list stays in force");
+    assert!(is_served_by("one"), "the old list must still be used");
     limiter
         .discovery
         .send(&list_change(7, &[draining_at("s-1", server_one.addr), serving("s-2", &server_two)]));
-    wait_for("the change that the old discovery announces", || is_served_by("two"));
+    wait_for("the change from the old discovery", || is_served_by("two"));
 
     new_discovery.send(&complete_list(3, &[serving("s-1", &server_one)]));
     limiter.wait_until_logged("endpoint changed server=s-1 ");
     wait_for("the new list", || is_served_by("one"));
     limiter.discovery.send(&complete_list(8, &[serving("s-2", &server_two)]));
     limiter.wait_until_logged("superseded by a newer source");
-    assert!(is_served_by("one"), "the old discovery is no longer followed");
+    assert!(is_served_by("one"), "the old discovery must no longer be used");
 
     new_discovery.close_watches();
-    wait_for("a further watch", || new_discovery.num_opened_watches() == 2);
+    wait_for("the second watch on the new discovery", || new_discovery.num_opened_watches() == 2);
     let watch_requests = new_discovery.watch_request_heads();
     assert!(watch_requests[1].contains("after=3"), "{watch_requests:?}");
 }
 
 /// The configuration file is missing, or incomplete because it is being written, when SIGHUP arrives. The
-/// limiter must retry until the file can be read, and apply the new configuration.
+/// limiter must retry until the file can be read and parsed, and apply the new configuration.
 #[test]
-fn an_unreadable_configuration_is_read_again() {
+fn a_reload_of_an_unreadable_configuration_is_retried() {
     let server_one = StubServer::responding_with("one");
     let server_two = StubServer::responding_with("two");
     for unreadable_text in [None, Some("{\"name\":\"n0\",")] {
@@ -60,7 +60,8 @@
     }
 }
 
-/// A configuration file that stays invalid changes nothing: the limiter serves, and follows its discovery.
+/// A configuration file stays invalid. The limiter keeps its current configuration, serves requests, and
+/// applies the changes that its discovery announces.
 #[test]
 fn an_invalid_configuration_changes_nothing() {
     let server = StubServer::responding_with("fine");
@@ -69,5 +70,5 @@
     limiter.wait_until_logged("keeping current configuration");
     assert_eq!(limiter.request(&idempotent_request()).status, 200);
     limiter.discovery.send(&list_change(2, &[draining_at("s-1", server.addr)]));
-    wait_for("the change that the discovery announces", || !limiter.is_ready());
+    wait_for("the change from discovery", || !limiter.is_ready());
 }
--- a/limiter/tests/startup.rs
+++ b/limiter/tests/startup.rs
@@ -1,5 +1,5 @@
 //! The start of a process: which configurations are rejected, when the process becomes ready, and which
-//! endpoint list is in force until discovery announces one.
+//! endpoint list is used until discovery announces one.
 
 mod stubs;
 
@@ -34,7 +34,7 @@
     }
 }
 
-/// A time that no clock can represent must have the effect of an unlimited time.
+/// A time that is too long for any clock must have the effect of an unlimited time.
 #[test]
 fn extreme_times_in_the_settings_do_not_crash_the_process() {
     let server = StubServer::responding_with("fine");
@@ -48,7 +48,7 @@
 /// A limiter is killed while a client is connected. A new process must be able to listen on the same address
 /// immediately.
 #[test]
-fn a_killed_limiter_can_listen_on_its_address_again() {
+fn a_new_process_can_listen_on_the_address_of_a_killed_one() {
     let server = StubServer::responding_with("fine");
     let killed_limiter = LimiterProcess::in_front_of(&server);
     let address = killed_limiter.addr;
@@ -62,14 +62,14 @@
     assert_eq!(new_limiter.request(&idempotent_request()).status, 200);
 }
 
-/// Starts the limiter while discovery accepts watch requests and does not respond.
+/// Starts the limiter while discovery accepts watch requests but does not respond.
 fn start_with_silent_discovery(alter: impl Fn(Configuration) -> Configuration) -> LimiterProcess {
     LimiterProcess::with_discovery(StubDiscovery::unresponsive(), alter, DEFAULT_DESCRIPTOR_LIMIT)
 }
 
 /// A process becomes ready with each kind of configured list: one that may be stale, an empty one, one
-/// without a server that accepts requests, one that cannot be read, and none. No server can be reached, so
-/// the process rejects requests.
+/// without a serving server, one that cannot be parsed, and none. No server can be reached, so the process
+/// rejects requests.
 #[test]
 fn a_new_process_becomes_ready_while_discovery_is_silent() {
     let unreachable_address: SocketAddr = "127.0.0.1:1".parse().expect("an address");
@@ -103,11 +103,11 @@
     }
 }
 
-/// The configured list may be stale, and what discovery knows counts as announced as soon as the process
-/// starts. A request that arrives before discovery responds must wait for the announcement, which here
-/// withdraws the only configured server.
+/// The configured list may be stale, and a new process must respect all changes that discovery has when the
+/// process starts. A request that arrives before discovery responds must wait for the list of discovery, in
+/// which the only configured server is draining.
 #[test]
-fn nothing_is_forwarded_with_a_stale_list_before_discovery_has_answered() {
+fn no_request_is_forwarded_with_a_stale_list_before_discovery_responds() {
     const MAX_ROUNDS: usize = 10;
     let stale_server = StubServer::responding_with("stale");
     let announced_server = StubServer::responding_with("announced");
@@ -135,7 +135,7 @@
     panic!("in {MAX_ROUNDS} rounds the limiter fell back to the configured list before discovery responded");
 }
 
-/// A silent discovery delays the service of a new process only for a short time, after which the limiter
+/// A silent discovery delays the service of a new process only for a short time. After that, the limiter
 /// falls back to the configured list.
 #[test]
 fn the_configured_list_is_used_while_discovery_is_silent() {
@@ -148,18 +148,19 @@
     assert_eq!(limiter.request(&idempotent_request()).body, "one");
 }
 
-/// Returns addresses that were free a moment ago.
+/// Returns addresses that are free when the function returns.
 fn unused_udp_addresses(count: usize) -> Vec<SocketAddr> {
-    let sockets: Vec<UdpSocket> = (0..count).map(|_| UdpSocket::bind("127.0.0.1:0").expect("bind")).collect();
-    sockets.iter().map(|socket| socket.local_addr().expect("address")).collect()
+    let sockets: Vec<UdpSocket> =
+        (0..count).map(|_| UdpSocket::bind("127.0.0.1:0").expect("a socket")).collect();
+    sockets.iter().map(|socket| socket.local_addr().expect("a local address")).collect()
 }
 
-/// Returns the setting by which a limiter receives gossip at an address.
+/// Returns the setting of the address at which a limiter receives gossip.
 fn gossip_setting(address: SocketAddr) -> String {
     format!("\"peer_listen\":\"{address}\"")
 }
 
-/// Starts the second limiter of a fleet, in front of the servers of a list.
+/// Starts the second limiter of a fleet, in front of the servers of this list.
 fn start_peer(addresses: &[SocketAddr], list: &str) -> LimiterProcess {
     let alter = |configuration: Configuration| {
         configuration
@@ -170,9 +171,9 @@
     LimiterProcess::with_discovery(StubDiscovery::new(list.to_string()), alter, DEFAULT_DESCRIPTOR_LIMIT)
 }
 
-/// Discovery has announced to a peer that a server drains, and is silent towards a new process, whose
-/// configured list still has the server. The new process must poll its peer before it becomes ready, and not
-/// use that server.
+/// Discovery has announced to a peer that a server is draining, and does not respond to a new process, whose
+/// configured list still contains the server as serving. The new process must poll its peer before it becomes
+/// ready, and must not use that server.
 #[test]
 fn a_new_process_polls_its_peers_for_tombstones_while_discovery_is_silent() {
     let draining_server = StubServer::responding_with("draining");
@@ -195,8 +196,9 @@
     assert_eq!(num_received, 0, "{num_received} requests were forwarded to a draining server");
 }
 
-/// Opens idle connections without pause until the gate opens. The newest 200 stay open, so that the limiter
-/// is at its bound all the time: when it closes an idle connection, the next one replaces it.
+/// Opens idle connections, one every millisecond at most, until the gate opens. The newest 200 stay open, so
+/// that the limiter is at its limit of client connections all the time: when it closes an idle connection,
+/// the next one replaces it.
 fn start_idle_clients(address: SocketAddr, stop: Gate) -> JoinHandle<()> {
     const MAX_OPEN: usize = 200;
     std::thread::spawn(move || {
@@ -213,7 +215,7 @@
     })
 }
 
-/// Starts a server that does not respond, and closes a connection only after its client.
+/// Starts a server that does not respond, and closes a connection only after the limiter has closed it.
 fn start_unresponsive_server() -> StubServer {
     StubServer::new(|_, stream| {
         wait_for("the limiter to close the connection", || {
@@ -223,12 +225,12 @@
     })
 }
 
-/// The process has the fewest descriptors that a configuration may state. An unresponsive server occupies
-/// every server connection, idle clients occupy every client connection, and discovery is down. The process
-/// reserves descriptors for its watch requests: when discovery resumes, its announcement takes effect.
-/// Attempts to the announced server have descriptors, too.
+/// The process has the smallest number of descriptors that a configuration may state. An unresponsive server
+/// occupies every server connection, idle clients occupy every client connection, and discovery is down. The
+/// process reserves descriptors for its watch requests: when discovery resumes, the list that it announces is
+/// applied. Descriptors are left for attempts to the announced server, too.
 #[test]
-fn idle_clients_do_not_use_the_descriptors_of_discovery_and_attempts() {
+fn idle_clients_do_not_exhaust_the_descriptors_for_discovery_and_attempts() {
     // 16 reserved descriptors, and one for each of at least 48 connections.
     const DESCRIPTORS: u32 = 64;
     // A third of the 48 connections.
@@ -252,7 +254,7 @@
     let changes = [draining_at("s-1", unresponsive_server.addr), serving("s-2", &serving_server)];
     limiter.discovery.resume_with(&list_change(2, &changes));
     limiter.wait_until_logged("endpoint changed server=s-2 ");
-    assert!(!limiter.has_logged("open files"), "no watch request or attempt fails without a descriptor");
+    assert!(!limiter.has_logged("open files"), "a watch request or an attempt failed without a descriptor");
     drop(waiting_clients);
     stop_idle_clients.open();
     idle_clients.join().expect("the thread of the idle clients");
--- a/limiter/tests/stubs/limiter_process.rs
+++ b/limiter/tests/stubs/limiter_process.rs
@@ -107,7 +107,7 @@
     /// # Panics
     ///
     /// Panics if a response has another body, or if [`LimiterProcess::request`] panics.
-    pub fn assert_responses(&self, body: &str, num_requests: usize) {
+    pub fn assert_response_bodies(&self, body: &str, num_requests: usize) {
         for _ in 0..num_requests {
             assert_eq!(self.request(&idempotent_request()).body, body);
         }
