--- a/limiter/tests/shutdown.rs
+++ b/limiter/tests/shutdown.rs
@@ -1,4 +1,4 @@
-//! Graceful shutdown on SIGTERM: accepted requests are answered, connections stay usable while time is left,
+//! Graceful shutdown on SIGTERM: accepted requests are answered, connections stay usable while there is time,
 //! and the process exits by its deadline even if servers are unresponsive.
 
 mod stubs;
@@ -9,13 +9,14 @@
 
 use stubs::*;
 
-/// Checks that the limiter closes a connection gracefully after its last response, without another byte.
+/// Asserts that the limiter closes a connection gracefully after its last response, without another byte.
 fn assert_closed_between_requests(client: &mut TcpStream) {
     let mut buffer = [0; 16];
     let length = retry_on_interrupt(|| client.read(&mut buffer)).expect("a graceful close");
-    assert_eq!(length, 0, "closed between requests");
+    assert_eq!(length, 0, "the connection is not closed between two requests");
 }
 
+/// Guards against a SIGTERM that drops a pending request, or that closes connections immediately.
 #[test]
 fn sigterm_finishes_pending_requests_and_exits_with_0() {
     let server = StubServer::new(|request, stream| {
@@ -31,22 +32,23 @@
     wait_for("the slow request to arrive", || server.num_received() == 2);
     limiter.signal("TERM");
     limiter.wait_until_logged("shutdown started");
-    assert_eq!(limiter.request(&idempotent_request()).status, 200, "new connections are still served");
+    assert_eq!(limiter.request(&idempotent_request()).status, 200, "new connections must still be served");
     assert_eq!(
         send_and_receive(&mut idle_client, &idempotent_request()).status,
         200,
-        "idle connections are still served"
+        "idle connections must still be served"
     );
     assert_closed_between_requests(&mut idle_client);
     assert_eq!(read_response(&mut slow_client).body, "done");
     assert_eq!(limiter.wait_for_exit_code(), Some(0));
 }
 
-/// Clients continue to use their connections after SIGTERM. Guards against closing the connections at once
-/// while time is left: requests are accepted for 2.4 s, which is the longest deadline (3 s) and the time from
-/// it to SIGKILL (0.7 s), less a margin (0.3 s) and the longest latency objective (1 s).
+/// Clients continue to use their connections after SIGTERM. Guards against closing the connections
+/// immediately while there is time: requests are accepted for 2.4 s, which is the longest deadline (3 s) plus
+/// the time from that deadline to SIGKILL (0.7 s), minus a margin (0.3 s) and the longest latency objective
+/// (1 s).
 #[test]
-fn idle_connections_stay_open_after_sigterm_while_time_is_left() {
+fn idle_connections_stay_open_after_sigterm_while_there_is_time() {
     let server = StubServer::responding_with("fine");
     let mut limiter = LimiterProcess::with_server(&server, |configuration| {
         configuration.replace(r#""AimMs":2500,"#, r#""AimMs":900,"DeadlineMs":8000,"#)
@@ -55,7 +57,7 @@
     assert_eq!(send_and_receive(&mut idle_client, &idempotent_request()).status, 200);
     limiter.signal("TERM");
     limiter.wait_until_logged("shutdown started");
-    // Half of the time for which requests are accepted.
+    // Half of the 2.4 s for which requests are accepted.
     sleep_ms(1200);
     assert_eq!(send_and_receive(&mut idle_client, &idempotent_request()).status, 200);
     assert!(!limiter.is_ready());
@@ -63,8 +65,8 @@
     assert_eq!(limiter.wait_for_exit_code(), Some(0));
 }
 
-/// Opens connections without requests until the listener refuses one. Returns whether it did before the time
-/// in which the process must have exited: 200 connections, one every 50 ms.
+/// Opens connections without requests until the listener refuses one, and returns true. Returns false if none
+/// of 200 connections is refused, one every 50 ms; by then the process must have exited.
 fn connect_until_refused(address: SocketAddr) -> bool {
     let mut clients = Vec::new();
     for _ in 0..200 {
@@ -75,8 +77,8 @@
     false
 }
 
-/// Guards against a restart that is delayed by clients that connect and send nothing: only accepted requests
-/// delay the exit.
+/// Guards against a restart that is delayed by clients which connect and send nothing: only accepted requests
+/// may delay the exit.
 #[test]
 fn shutdown_does_not_wait_for_clients_without_requests() {
     let server = StubServer::responding_after_ms(900, "done");
@@ -89,12 +91,12 @@
     assert_eq!(read_response(&mut slow_client).body, "done");
     assert_eq!(limiter.wait_for_exit_code(), Some(0));
     let is_refused = silent_clients.join().expect("the thread of the silent clients");
-    assert!(is_refused, "the listener must close while clients still connect");
+    assert!(is_refused, "the listener must close while clients continue to connect");
 }
 
-/// After SIGTERM all responses are due at a fixed time, however long the clients would wait. Requests whose
-/// attempts an unresponsive server has received are answered by then, also one that arrives after SIGTERM,
-/// and the process exits after the last response.
+/// All responses are due at a fixed time after SIGTERM, regardless of how long the clients would wait.
+/// Requests that an unresponsive server has received are answered by that time, including one that arrives
+/// after SIGTERM, and the process exits after the last response.
 #[test]
 fn all_requests_are_answered_during_shutdown_although_servers_are_unresponsive() {
     let server = StubServer::unresponsive();
@@ -116,11 +118,12 @@
     assert_eq!(limiter.wait_for_exit_code(), Some(0));
 }
 
-/// Consecutive checks without a further request after which none is expected to follow.
+/// Number of consecutive checks without a new request after which no further request is expected.
 const STABLE_CHECKS: u32 = 30;
 
-/// Waits until the server has received some requests and receives no more. Returns their number.
-fn wait_no_more_received(server: &StubServer) -> usize {
+/// Waits until the server has received at least one request and receives no more. Returns the number of
+/// requests.
+fn wait_until_no_more_received(server: &StubServer) -> usize {
     let mut last_num_received = 0;
     let mut num_stable_checks = 0;
     wait_for("the server to receive no more requests", || {
@@ -133,15 +136,15 @@
     last_num_received
 }
 
-/// The responses on a connection until it ended.
+/// The responses that were received on a connection until its end.
 struct ReceivedResponses {
     responses: Vec<HttpMessage>,
-    /// The error that ended the last read; it quotes an incomplete response.
+    /// The error of the last read, which quotes an incomplete response.
     final_error: String,
 }
 
 fn read_all_responses(client: &mut TcpStream) -> ReceivedResponses {
-    client.set_read_timeout(Some(WAIT_TIMEOUT)).expect("time-out");
+    client.set_read_timeout(Some(WAIT_TIMEOUT)).expect("a read timeout");
     let mut responses = Vec::new();
     loop {
         match read_message(client) {
@@ -151,9 +154,9 @@
     }
 }
 
-/// A client pipelines requests and reads no response until the shutdown is under way, so that the limiter
-/// cannot write one of them. Neither the exit of the process nor its sweeps of idle connections may truncate
-/// that response.
+/// A client pipelines requests and reads no response until the shutdown has started, so that the limiter
+/// cannot finish writing one of the responses. Neither the exit of the process nor the periodic check that
+/// closes idle connections may truncate that response.
 #[test]
 fn shutdown_does_not_truncate_a_response_that_is_being_written() {
     const NUM_REQUESTS: usize = 300;
@@ -166,28 +169,28 @@
     let mut writer = client.try_clone().expect("a clone");
     // The write may fail, because the limiter closes the connection before it has read all requests.
     let writing = std::thread::spawn(move || drop(writer.write_all(requests.as_bytes())));
-    assert!(wait_no_more_received(&server) < NUM_REQUESTS, "all were answered");
+    assert!(wait_until_no_more_received(&server) < NUM_REQUESTS, "the server received all requests");
     limiter.signal("TERM");
     wait_for("the listener to close", || TcpStream::connect(limiter.addr).is_err());
-    // Longer than the interval of the sweeps of idle connections.
+    // Longer than the interval of the checks for idle connections.
     sleep_ms(1500);
     let ReceivedResponses { responses, final_error } = read_all_responses(&mut client);
     assert_eq!(responses[0].status, 200);
     for response in &responses {
-        // Requests that the limiter has read but reaches too late are rejected.
+        // The limiter rejects requests that it has read but cannot forward in time.
         let is_complete = response.status == 200 && response.body == body;
         assert!(is_complete || response.status == 429, "status {}", response.status);
     }
     let last_response = responses.last().expect("responses");
     assert_eq!(last_response.header("connection").as_deref(), Some("close"));
-    assert!(final_error.ends_with(r#"after """#), "the last response is truncated: {final_error}");
+    assert!(final_error.ends_with(r#"after """#), "the last response was truncated: {final_error}");
     assert_eq!(limiter.wait_for_exit_code(), Some(0));
     drop(client);
     writing.join().expect("the writer");
 }
 
-/// Requests that the limiter read together with an open request must be answered, too. The connection is
-/// closed after the last response.
+/// The limiter must also answer requests that it has read together with a pending request. It closes the
+/// connection after the last response.
 #[test]
 fn pipelined_requests_are_answered_during_shutdown() {
     const IDS: [&str; 3] = ["first", "second", "third"];
--- a/limiter/tests/shutdown_races.rs
+++ b/limiter/tests/shutdown_races.rs
@@ -1,6 +1,6 @@
-//! Races at the exit of a process. A process that is stopped by SIGSTOP simulates one without processor time:
-//! what clients send during the stall waits in the kernel. On a slow machine a test may not force its race;
-//! its assertions hold either way.
+//! Races during a graceful shutdown. A process that is stopped by SIGSTOP simulates one that gets no
+//! processor time: what clients send during the stall waits in the kernel. On a slow machine, the race of a
+//! test may not occur; the assertions hold in either case.
 
 mod stubs;
 
@@ -9,26 +9,26 @@
 
 use stubs::*;
 
-/// Longer than the 0.6 s for which requests are accepted after SIGTERM, and all steps of the shutdown that
-/// follow when no more requests arrive.
+/// How long the process stalls, in milliseconds. This is longer than the 0.6 s for which requests are
+/// accepted after SIGTERM, and than all following steps of the shutdown if no more requests arrive.
 const STALL_MS: u64 = 1100;
 
 /// A server, and the limiter in front of it.
-struct Setup {
+struct ServerAndLimiter {
     server: StubServer,
     limiter: LimiterProcess,
 }
 
-/// Starts a server and a limiter that accepts requests after SIGTERM for the shortest time possible. There is
-/// no latency objective, because a machine that stalls for a second would otherwise have requests rejected.
-fn start() -> Setup {
+/// Starts a server and a limiter that accepts requests after SIGTERM for the shortest possible time. The
+/// latency objective is 10 minutes, because with the default of 1 s requests would be rejected on a machine
+/// that stalls for a second.
+fn start_server_and_limiter() -> ServerAndLimiter {
     let server = StubServer::responding_with("fine");
     let limiter = LimiterProcess::with_server(&server, Configuration::with_long_latency_objective);
-    Setup { server, limiter }
+    ServerAndLimiter { server, limiter }
 }
 
-/// Stops the process, performs `during_stall`, and continues the process when all steps of its shutdown are
-/// due.
+/// Stops the process, calls `during_stall`, and continues the process when all steps of its shutdown are due.
 fn stall<T>(limiter: &LimiterProcess, during_stall: impl FnOnce() -> T) -> T {
     limiter.signal("STOP");
     let result = during_stall();
@@ -44,8 +44,8 @@
     client
 }
 
-/// Returns whether the limiter has not closed an idle connection. If the limiter has closed it before the
-/// stall, the race cannot be forced.
+/// Returns whether an idle connection is still open. If the limiter has closed the connection before the
+/// stall, the race cannot occur.
 fn is_open(client: &TcpStream) -> bool {
     client.set_nonblocking(true).expect("a socket");
     let is_open = client.peek(&mut [0]).is_err_and(|error| error.kind() == ErrorKind::WouldBlock);
@@ -57,20 +57,20 @@
     client.write_all(request_with_long_timeout(id).as_bytes())
 }
 
-/// Sends a request on a new connection. Returns the connection, or nothing if the listener is closed.
+/// Sends a request on a new connection. Returns the connection, or `None` if the listener is closed.
 fn try_send(address: SocketAddr, id: &str) -> Option<TcpStream> {
     let mut client = TcpStream::connect(address).ok()?;
     write_request(&mut client, id).ok()?;
     Some(client)
 }
 
-/// Returns the head of a complete response, or nothing if the connection ended before its first byte.
+/// Returns the head of a complete response, or `None` if the connection ended before its first byte.
 ///
 /// # Panics
 ///
 /// Panics if the response is incomplete, or if the connection stays open without a response.
 fn response_head(client: &mut TcpStream) -> Option<String> {
-    client.set_read_timeout(Some(WAIT_TIMEOUT)).expect("time-out");
+    client.set_read_timeout(Some(WAIT_TIMEOUT)).expect("a read timeout");
     match retry_on_interrupt(|| client.peek(&mut [0])) {
         Ok(length) if length > 0 => Some(read_response(client).head),
         Err(error) if matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {
@@ -85,16 +85,16 @@
     response_head(client).is_some_and(|head| head.starts_with("HTTP/1.1 200"))
 }
 
-/// Requests arrive while the process stalls: on an idle keep-alive connection, on a connection without any
-/// request so far, and on a connection that waits to be accepted. Guards against a shutdown that follows the
-/// clock alone: all of its steps are due at once after the stall, so that it would not read what has arrived.
-/// The limiter may close the keep-alive connection without reading its request, because the client resends
-/// such a request.
+/// Requests arrive while the process stalls: on an idle keep-alive connection, on a connection without an
+/// earlier request, and on a connection that waits to be accepted. Guards against a shutdown whose steps
+/// depend on the clock alone: after the stall all of them are due immediately, so that the limiter would not
+/// read the requests that have arrived. The limiter may close the keep-alive connection without reading its
+/// request, because the client resends such a request.
 #[test]
 fn requests_that_arrive_during_a_stall_at_shutdown_are_not_lost() {
-    // Three rounds, because a process that is stopped while it does not wait for I/O does not force the race.
+    // Three rounds, because the race does not occur if the process is stopped while it does not wait for I/O.
     for _ in 0..3 {
-        let Setup { server, mut limiter } = start();
+        let ServerAndLimiter { server, mut limiter } = start_server_and_limiter();
         let mut idle_client = idle_connection(&limiter, "first");
         let mut silent_client = limiter.connect();
         limiter.signal("TERM");
@@ -103,8 +103,8 @@
             if !is_open(&idle_client) {
                 return None;
             }
-            write_request(&mut idle_client, "idle").expect("write");
-            write_request(&mut silent_client, "silent").expect("write");
+            write_request(&mut idle_client, "idle").expect("a written request");
+            write_request(&mut silent_client, "silent").expect("a written request");
             Some(limiter.send(&request_with_long_timeout("new")))
         });
         let Some(mut new_client) = new_client else { continue };
@@ -119,12 +119,12 @@
 }
 
 /// Connections nearly fill the accept queue (120 of 128) when the shutdown closes the listener. Guards
-/// against closing the listener while it has connections that no event has announced yet, and against an exit
-/// before the requests on the connections that were accepted last have been read.
+/// against closing the listener while its queue has connections of which the event loop has not been notified
+/// yet, and against an exit before the requests on the connections that were accepted last have been read.
 #[test]
 fn the_accept_queue_is_served_before_the_listener_closes() {
     const NUM_CLIENTS: usize = 120;
-    let Setup { server, mut limiter } = start();
+    let ServerAndLimiter { server, mut limiter } = start_server_and_limiter();
     let idle_client = idle_connection(&limiter, "first");
     limiter.signal("TERM");
     limiter.wait_until_logged("shutdown started");
@@ -139,8 +139,8 @@
     });
     let heads: Vec<Option<String>> = clients.iter_mut().map(response_head).collect();
     let num_lost = heads.iter().filter(|head| head.is_none()).count();
-    assert_eq!(num_lost, 0, "lost of {}", heads.len());
-    // Some of so many requests may be rejected; idempotent requests may be rejected after an attempt, too.
+    assert_eq!(num_lost, 0, "requests without a response, of {}", heads.len());
+    // Some of so many requests may be rejected, and an idempotent request may be rejected after an attempt.
     for (id, head) in ids.iter().zip(heads.iter().flatten()) {
         if head.starts_with("HTTP/1.1 200") {
             assert!(server.num_received_with_id(id) > 0, "{id}: {head}");
@@ -152,18 +152,18 @@
 }
 
 /// Clients wait until the limiter closes their idle connections, write a request at that moment, and resend
-/// it on a new connection. Guards against a resent request that is lost or executed twice. A client that
-/// finds the listener closed would use another limiter.
+/// the request on a new connection. Guards against a resent request that is lost or executed twice. A client
+/// that finds the listener closed would use another limiter.
 #[test]
 fn a_request_resent_at_shutdown_is_served_once() {
     const NUM_CLIENTS: usize = 8;
-    let Setup { server, mut limiter } = start();
+    let ServerAndLimiter { server, mut limiter } = start_server_and_limiter();
     let ids: Vec<String> = (0..NUM_CLIENTS).map(|number| format!("resent-{number}")).collect();
     let mut idle_clients: Vec<TcpStream> =
         ids.iter().map(|id| idle_connection(&limiter, &format!("before-{id}"))).collect();
     limiter.signal("TERM");
     for client in &mut idle_clients {
-        assert_eq!(response_head(client), None, "closed between requests");
+        assert_eq!(response_head(client), None, "the connection is not closed between two requests");
     }
     let mut resending_clients = Vec::new();
     stall(&limiter, || {
@@ -182,14 +182,14 @@
     assert_eq!(limiter.wait_for_exit_code(), Some(0));
 }
 
-/// The requests on one connection until it ended.
+/// The outcome of the requests that were sent on one connection until its end.
 struct SentRequests {
     num_answered: usize,
-    /// The id of the last request, if the connection ended without a response to it.
+    /// Id of the last request, if the connection ended without a response to it.
     unanswered_id: Option<String>,
 }
 
-/// Sends one request after the other until the connection ends.
+/// Sends one request after another until the connection ends.
 fn send_until_closed(client: &mut TcpStream, client_number: usize) -> SentRequests {
     let mut num_answered = 0;
     loop {
@@ -205,13 +205,13 @@
     }
 }
 
-/// Clients send requests on their keep-alive connections until the limiter closes these, and the process
-/// stalls during its shutdown. Guards against a request that is forwarded and not answered: its client may
-/// resend it, so that it is executed twice.
+/// Clients send requests on their keep-alive connections until the limiter closes the connections, and the
+/// process stalls during its shutdown. Guards against a request that is forwarded but not answered: its
+/// client may resend the request, which would then be executed twice.
 #[test]
 fn every_request_until_exit_is_answered_or_not_forwarded() {
     const NUM_CLIENTS: usize = 8;
-    let Setup { server, mut limiter } = start();
+    let ServerAndLimiter { server, mut limiter } = start_server_and_limiter();
     let mut client_threads = Vec::new();
     for client_number in 0..NUM_CLIENTS {
         let mut client = idle_connection(&limiter, &format!("first-{client_number}"));
