--- a/limiter/src/frontend/request/body.rs
+++ b/limiter/src/frontend/request/body.rs
@@ -1,4 +1,4 @@
-//! Reading of a request's body, of bounded length.
+//! Reads the body of a request, up to a maximum length.
 
 use std::time::Duration;
 
@@ -10,10 +10,11 @@
 
 use crate::messages::body::{self, BodyError};
 
-/// Most bytes that are read and discarded of a body that is too large, so that its sender sees the response.
+/// Number of bytes of an oversized body after which the limiter stops reading and discarding them. Until
+/// this bound, the limiter reads on so that the client receives the response.
 const MAX_DISCARDED_BYTES: usize = 1 << 20;
 /// Longest time for which a body that is too large is read and discarded. Together with
-/// [`MAX_DISCARDED_BYTES`] this bounds what a client can make the limiter read for nothing.
+/// [`MAX_DISCARDED_BYTES`], this limits how much a client can make the limiter read to no purpose.
 const DISCARD_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Why the body of a request is invalid. The message is the body of the response.
@@ -46,28 +47,29 @@
 
 /// Reads the complete body.
 ///
-/// Cancelling drops the body and leaves the rest of it unread, by which the caller bounds the time. The
-/// response must then end the connection, as the response to every rejected request does.
+/// The caller limits the time by cancelling, which drops the body and leaves the rest of it unread. In this
+/// case, the response must end the connection, as the response to every invalid request does.
 ///
 /// # Errors
-/// [`RequestBodyError::TooLarge`], after the sender had time to finish, or [`RequestBodyError::Incomplete`].
+/// [`RequestBodyError::TooLarge`], after the client has had time to send the rest of the body, or
+/// [`RequestBodyError::Incomplete`].
 pub async fn read_body(mut body: Incoming) -> Result<Bytes, RequestBodyError> {
     match body::read_body(&mut body).await {
         Ok(received) => Ok(received),
-        Err(BodyError::TooLong) => Err(discard(body).await),
+        Err(BodyError::TooLong) => Err(discard_rest(body).await),
         Err(BodyError::Incomplete(error)) => Err(RequestBodyError::Incomplete(error)),
     }
 }
 
-/// Reads the rest of a body that is too large, within bounds. Closing the socket with unread bytes would
-/// cause a reset, in which the client could lose the response.
-async fn discard(body: Incoming) -> RequestBodyError {
+/// Reads and discards the rest of a body that is too large, within the bounds on bytes and time. Closing the
+/// socket while it has unread bytes would reset the connection, and the client could lose the response.
+async fn discard_rest(body: Incoming) -> RequestBodyError {
     // The response is written whether or not the rest of the body arrives in time.
     let _ = timeout(DISCARD_TIMEOUT, read_and_drop(body)).await;
     RequestBodyError::TooLarge
 }
 
-/// Reads a body to its end, or until [`MAX_DISCARDED_BYTES`] were read, and drops the bytes.
+/// Reads a body to its end, or until more than [`MAX_DISCARDED_BYTES`] have been read, and drops the bytes.
 async fn read_and_drop(mut body: Incoming) {
     let mut discarded_bytes = 0;
     while let Some(Ok(frame)) = body.frame().await {
--- a/limiter/src/frontend/request/handler.rs
+++ b/limiter/src/frontend/request/handler.rs
@@ -19,7 +19,8 @@
 use crate::observability::labels::InvalidRequestReason;
 use crate::observability::metrics::Metrics;
 
-/// A request has to arrive completely within this time of its first byte, however slowly the client sends it.
+/// Time within which a request has to arrive completely, counted from its first byte, or from the accept for
+/// the first request of a connection. Applies even if the client keeps sending slowly.
 const INCOMPLETE_REQUEST_TIMEOUT: Duration = Duration::from_millis(INCOMPLETE_REQUEST_TIMEOUT_MS as u64);
 /// Path of the readiness check. The status of the response says whether the limiter is ready.
 const READINESS_PATH: &str = "/-/ready";
@@ -58,7 +59,7 @@
 }
 
 impl RequestHandler {
-    /// Creates the handler of a connection with this state and socket.
+    /// Creates the handler of the connection with the given state and socket.
     pub fn new(
         engine: Rc<Engine>,
         connections: Rc<Connections>,
@@ -83,28 +84,29 @@
         response
     }
 
-    /// Returns whether the connection ends with the response that has just become ready. During the shutdown,
-    /// requests that were pipelined after this one are answered first. After an overflow, bytes that follow
-    /// this request were dropped.
+    /// Returns whether the connection has to end with the response to the current request. During the
+    /// shutdown, requests that were pipelined after this one are answered first. After an overflow of the
+    /// read-ahead buffer, bytes that follow this request have been dropped.
     fn is_last_response(&self) -> bool {
-        let is_shutdown_complete = self.connections.is_shutting_down() && !self.client.has_pipelined_bytes();
-        is_shutdown_complete || self.state.has_read_ahead_overflowed()
+        let is_last_before_shutdown =
+            self.connections.is_shutting_down() && !self.client.has_pipelined_bytes();
+        is_last_before_shutdown || self.state.has_read_ahead_overflowed()
     }
 
-    /// Returns the response to a request. Cancelling counts as a disconnect of the client.
+    /// Returns the response to a request. The engine treats cancelling as a disconnect of the client.
     async fn respond(&self, request: Request<Incoming>) -> ClientResponse {
         let started_at = self.state.take_request_start();
         if request.uri().path() == READINESS_PATH {
-            return self.readiness();
+            return self.readiness_response();
         }
-        match self.receive(request, started_at).await {
+        match self.receive_and_submit(request, started_at).await {
             Ok(pending) => self.wait_for_response(pending).await,
             Err(error) => self.reject(&error),
         }
     }
 
     /// Returns the response to a readiness check.
-    fn readiness(&self) -> ClientResponse {
+    fn readiness_response(&self) -> ClientResponse {
         let status = if self.engine.is_ready() { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
         response::empty(status)
     }
@@ -123,8 +125,8 @@
     ///
     /// # Errors
     /// [`RequestError`] if the request is invalid, does not arrive in time, or has the correlation id of a
-    /// pending one.
-    async fn receive(
+    /// pending request.
+    async fn receive_and_submit(
         &self,
         request: Request<Incoming>,
         started_at: Instant,
@@ -149,7 +151,7 @@
             .map_err(|DuplicateRequest| RequestError::Duplicate)
     }
 
-    /// Waits for the final response. The connection's task watches for a disconnect of the client until then.
+    /// Waits for the final response. Meanwhile, the connection's task watches for a disconnect of the client.
     ///
     /// Cancelling drops `pending`, which reports the disconnect to the engine.
     async fn wait_for_response(&self, pending: PendingResponse) -> ClientResponse {
--- a/limiter/src/frontend/request/head.rs
+++ b/limiter/src/frontend/request/head.rs
@@ -10,14 +10,14 @@
 use crate::config::Config;
 use crate::messages::request::{CORRELATION_ID, IDEMPOTENCY_KEY, TIME_LEFT};
 
-/// Names the customer's plan.
+/// Header field that names the customer's plan.
 const PLAN: HeaderName = HeaderName::from_static("x-tariff");
-/// Declares the cost of the request and the members of its quota; see [`Weight`].
+/// Header field that declares the cost of the request and the members of its quota; see [`Weight`].
 const WEIGHT: HeaderName = HeaderName::from_static("x-weight");
 /// Header fields that may occur at most once in a request.
 const UNIQUE_HEADERS: [HeaderName; 5] = [CORRELATION_ID, IDEMPOTENCY_KEY, TIME_LEFT, PLAN, WEIGHT];
 
-/// Largest value of [`TIME_LEFT`] that makes sense, in seconds. A request with a larger one is rejected.
+/// Largest valid value of [`TIME_LEFT`], in seconds. A request with a larger value is rejected.
 const MAX_TIME_LEFT_S: f64 = 3600.0;
 /// Longest time for which a request is pending, in seconds. A longer [`TIME_LEFT`] is reduced to this.
 const MAX_TIMEOUT_S: f64 = 60.0;
@@ -40,7 +40,7 @@
     /// The second part of the path is not a customer id.
     #[error("the customer is not 16 hex digits below 2^33")]
     InvalidCustomer,
-    /// Idempotent classes are requested with GET, all others with POST.
+    /// The method is not the one that the class requires: GET for idempotent classes, POST for all others.
     #[error("not this class's method")]
     WrongMethod,
     /// The plan is missing, or the settings do not define it.
@@ -83,10 +83,10 @@
     }
 }
 
-/// A valid head.
+/// The head of a valid request.
 pub struct RequestHead {
-    /// The request as the core sees it. Its id, and the time for which it has waited, are added when it is
-    /// submitted.
+    /// The request in the form that the core handles. The id of the request and the time for which it has
+    /// waited are set when it is submitted.
     pub request: Request,
     /// Path and query.
     pub target: Uri,
@@ -101,7 +101,7 @@
     /// core nor a server.
     ///
     /// # Errors
-    /// The first fault, in the order of the checks below.
+    /// The error of the first check that fails, in the order below.
     pub fn parse(head: &Parts, config: &Config) -> Result<RequestHead, RequestHeadError> {
         let headers = &head.headers;
         check_framing(headers)?;
@@ -131,8 +131,9 @@
     }
 }
 
-/// Guards against request smuggling. Given both a transfer coding and a length, hyper follows the coding and
-/// may drop the length, while a server may follow the length. Clients therefore have to declare the length.
+/// Rejects transfer codings, to prevent request smuggling. If a request has both a transfer coding and a
+/// length, hyper uses the coding and may drop the length, while a server may use the length. Clients
+/// therefore have to declare the length.
 fn check_framing(headers: &HeaderMap) -> Result<(), RequestHeadError> {
     if headers.contains_key(TRANSFER_ENCODING) {
         return Err(RequestHeadError::LengthRequired);
@@ -150,12 +151,12 @@
     Ok(())
 }
 
-/// Returns whether requests of a class may be executed repeatedly.
+/// Returns whether requests of a class are idempotent, or idempotent with a key only.
 fn class_idempotency(config: &Config, class: usize) -> Idempotency {
     config.settings.classes.get(class).map_or(Idempotency::NonIdempotent, |class| class.idempotency)
 }
 
-/// Checks that the method is the one of the class.
+/// Checks that the method is the one that the class requires.
 fn check_method(method: &Method, idempotency: Idempotency) -> Result<(), RequestHeadError> {
     let expected = if idempotency == Idempotency::Idempotent { Method::GET } else { Method::POST };
     if *method != expected {
@@ -186,7 +187,8 @@
     Weight::parse(text, config).ok_or(RequestHeadError::InvalidWeight)
 }
 
-/// Returns the value of [`IDEMPOTENCY_KEY`]. Classes whose requests are idempotent by their key require one.
+/// Returns the value of [`IDEMPOTENCY_KEY`], if present and not empty. A class whose requests are idempotent
+/// only with a key requires a value.
 fn parse_idempotency_key(
     headers: &HeaderMap,
     idempotency: Idempotency,
--- a/limiter/src/frontend/request/path.rs
+++ b/limiter/src/frontend/request/path.rs
@@ -3,10 +3,10 @@
 use super::head::RequestHeadError;
 use crate::config::Config;
 
-/// Length of a customer id in the path, as the protocol defines it.
+/// Length of a customer id in the path, in hexadecimal digits, as the protocol defines it.
 const CUSTOMER_HEX_DIGITS: usize = 16;
 /// Customer ids are below this bound, as the protocol defines it.
-const CUSTOMER_END: u64 = 1 << 33;
+const CUSTOMER_ID_BOUND: u64 = 1 << 33;
 
 /// The class and the customer that a path names.
 pub struct RequestPath {
@@ -40,5 +40,5 @@
         return None;
     }
     let customer = u64::from_str_radix(text, 16).ok()?;
-    (customer < CUSTOMER_END).then_some(customer)
+    (customer < CUSTOMER_ID_BOUND).then_some(customer)
 }
--- a/limiter/src/frontend/request/weight.rs
+++ b/limiter/src/frontend/request/weight.rs
@@ -2,19 +2,20 @@
 
 use crate::config::Config;
 
-/// What the header declares.
+/// The contents of the header field.
 pub struct Weight {
     /// Cost in quota units.
     pub cost_units: f64,
     /// Number of limiters that are members of the customer's quota.
     pub member_count: u32,
-    /// Position of the first member; the other members follow it in a ring.
+    /// Position of the first member. The other members have the next positions; position 0 follows the last
+    /// position.
     pub first_member: u32,
 }
 
 impl Weight {
-    /// Parses `units=2,spread=3,first=1`, in any order. Other names are ignored. Returns `None` if a value is
-    /// missing or out of bounds.
+    /// Parses a value such as `units=2,spread=3,first=1`, in any order. Other names are ignored. Returns
+    /// `None` if a value is missing, malformed or out of bounds.
     pub fn parse(text: &str, config: &Config) -> Option<Weight> {
         let mut cost_units = None;
         let mut member_count = None;
