--- a/limiter/src/frontend/connection.rs
+++ b/limiter/src/frontend/connection.rs
@@ -33,7 +33,7 @@
 ) {
     stream.set_nodelay();
     engine.metrics().client_connections_accepted.inc();
-    let memory = connections.share_read_ahead_memory();
+    let memory = connections.new_read_ahead_share();
     let read_ahead = ReadAhead::new(stream, memory, engine.arrival_clock().clone(), queued_since);
     let task = ConnectionTask {
         engine: engine.clone(),
@@ -46,10 +46,10 @@
     });
 }
 
-/// A connection as hyper serves it.
+/// A client connection that is served by hyper.
 type HttpConnection<S> = http1::Connection<TokioIo<ReadAheadStream>, S>;
 
-/// The task of one connection. Dropping it removes the connection from the table.
+/// The task of one connection. Dropping the task removes the connection from the table.
 struct ConnectionTask {
     engine: Rc<Engine>,
     connections: Rc<Connections>,
@@ -60,7 +60,7 @@
     /// Serves the connection until either side ends it.
     ///
     /// Awaited by the connection's task alone. When the future returns or is cancelled, it drops hyper's
-    /// connection, and with that the handler of an open request: the engine then treats the client as
+    /// connection and with it the handler of an open request, and the engine treats the client as
     /// disconnected.
     async fn serve(&self, read_ahead: ReadAhead) -> ClientCloseReason {
         let state = self.connection.state();
@@ -76,12 +76,12 @@
         self.drive(http, &read_ahead).await
     }
 
-    /// Polls hyper, and closes the connection when the table of connections asks for that or the client
+    /// Polls hyper, and closes the connection when the table of connections requests that or the client
     /// disconnects.
     ///
     /// The order of the branches matters. hyper is polled first, so that bytes which have arrived are read
     /// before another branch closes the connection. The other branches are cancelled whenever one of them
-    /// completes. That loses no bytes and no request for a shutdown; an abort that is lost is requested
+    /// completes. This loses no bytes and no request for a shutdown. An abort that is lost is requested
     /// again, as `CloseSignals::abort_requested` explains.
     async fn drive(
         &self,
@@ -117,7 +117,7 @@
     }
 
     /// Counts and logs the end of the connection. While a response is outstanding, only the client may end
-    /// the connection: anything else is the violation of an invariant.
+    /// the connection, unless the client does not read the response. Any other end violates an invariant.
     fn record_close(&self, reason: ClientCloseReason) {
         let metrics = self.engine.metrics();
         let id = self.connection.id();
@@ -125,16 +125,17 @@
         let open_requests = facts.open_requests;
         Metrics::count(&metrics.client_connections_closed, reason);
         tracing::debug!(connection = id, %reason, open_requests, "client connection closed");
-        let is_by_limiter = matches!(reason, ClientCloseReason::Finished | ClientCloseReason::Aborted);
-        if is_by_limiter && !facts.may_close() {
+        let is_closed_by_limiter = matches!(reason, ClientCloseReason::Finished | ClientCloseReason::Aborted);
+        if is_closed_by_limiter && !facts.may_close() {
             let detail = format_args!("connection {id} closed with {open_requests} requests open: {reason}");
             metrics.record_violation(Invariant::NoCloseWithOpenRequest, &detail);
         }
     }
 }
 
-/// Returns whether hyper may end the connection between two requests: nothing of a request has arrived. Any
-/// other connection ends with its last response, or is examined again when a response has been written.
+/// Returns whether hyper may close the connection now, because no part of an unanswered request has been
+/// read. Any other connection ends with its last response, or is examined again when a response has been
+/// written.
 fn may_shut_down_now(state: &ConnectionState, read_ahead: &ReadAhead) -> bool {
     let is_idle = state.facts(true).is_idle() && !read_ahead.has_bytes();
     is_idle || !state.has_received_bytes()
--- a/limiter/src/frontend/connection_state.rs
+++ b/limiter/src/frontend/connection_state.rs
@@ -1,4 +1,4 @@
-//! What is known of one client connection, shared by the task that serves it and the table of all
+//! The state of one client connection, shared by the task that serves the connection and the table of all
 //! connections.
 
 use std::cell::Cell;
@@ -12,46 +12,48 @@
 
 /// The state of one client connection.
 ///
-/// The flags are not the phases of one sequence: hyper may start the next pipelined request while the
-/// response before it is still being written.
+/// The fields do not describe a sequence of phases: hyper may start the next pipelined request while the
+/// previous response is still being written.
 pub(super) struct ConnectionState {
-    /// Requests that are being received or answered, until their responses are written.
+    /// Number of requests whose head has been received and whose response is not completely written.
     open_requests: Cell<u32>,
-    /// Requests that hyper has read to their end and whose responses are not ready.
+    /// Number of requests that hyper has read to their end and whose response is not ready.
     unanswered_requests: Cell<u32>,
-    /// Responses that are ready and not completely written.
+    /// Number of responses that are ready and not completely written.
     unwritten_responses: Cell<u32>,
-    /// Since when the first of the unwritten responses has been ready.
+    /// When the first of the unwritten responses became ready.
     unwritten_since: Cell<Option<Instant>>,
-    /// The body of the open request has not arrived completely.
+    /// Whether the body of the open request is still awaited.
     is_receiving_body: Cell<bool>,
-    /// The open request awaits its response. hyper does not read the stream and would not see its end.
-    watches_disconnect: Cell<bool>,
-    /// The client sent more after an open request than may be buffered. The excess was dropped.
+    /// Whether the client is watched for a disconnect, because the open request awaits its response. In the
+    /// meantime, hyper does not read the stream and would not see the end of the stream.
+    is_watching_for_disconnect: Cell<bool>,
+    /// Whether the client sent more after an open request than may be buffered. The excess was dropped.
     has_read_ahead_overflowed: Cell<bool>,
-    /// Bytes of the client have been read.
+    /// Whether any bytes of the client have been read.
     has_received_bytes: Cell<bool>,
-    /// When the bytes arrived that hyper read last. hyper does not read on after a complete request: the
-    /// bytes are the last ones of that request, or arrived together with them.
+    /// When the bytes that hyper read last arrived. hyper is given nothing beyond the end of a request before
+    /// the response is ready. When a request has just become complete, these bytes are therefore its last
+    /// ones.
     last_arrival: Cell<Arrival>,
-    /// When the connection was accepted, a response became ready, or a response was written; the latest of
-    /// these.
+    /// The latest time at which the connection was accepted, a response became ready, or a response was
+    /// written.
     last_active: Cell<Instant>,
-    /// When the first byte of a request arrived whose rest is still missing. The first request of a
-    /// connection counts as arriving from the accept on.
+    /// When the first byte of the request arrived whose head hyper has not parsed yet. The first request of a
+    /// connection is treated as arriving from the accept on.
     incomplete_since: Cell<Option<Instant>>,
-    /// The response that is ready is the last one. Nothing more is read.
+    /// Whether the response that is ready is the last one of the connection. Nothing more is read.
     has_last_response: Cell<bool>,
     close_signals: CloseSignals,
 }
 
-/// The order in which connections are evicted: the lowest rank first.
+/// Rank of a connection in the order of eviction. The connection with the lowest rank is evicted first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct EvictionRank {
-    /// No request is arriving. Connections that have sent no request, or a part of one, are evicted before
-    /// others.
+    /// Whether no request is arriving. Connections whose client has sent nothing yet, or only a part of a
+    /// request, are evicted before others.
     is_between_requests: bool,
-    /// Among connections of equal rank, the one that has been idle for longest is evicted first.
+    /// Among otherwise equal connections, the one that has been inactive for longest is evicted first.
     last_active: Instant,
 }
 
@@ -65,7 +67,7 @@
             unwritten_responses: Cell::new(0),
             unwritten_since: Cell::new(None),
             is_receiving_body: Cell::new(false),
-            watches_disconnect: Cell::new(false),
+            is_watching_for_disconnect: Cell::new(false),
             has_read_ahead_overflowed: Cell::new(false),
             has_received_bytes: Cell::new(false),
             last_arrival: Cell::new(Arrival::not_before(now.into_std())),
@@ -76,7 +78,7 @@
         }
     }
 
-    /// Returns what the rules need to know of the connection at this moment.
+    /// Returns the current facts from which the rules decide about the connection.
     pub(super) fn facts(&self, is_shutting_down: bool) -> ClientConnectionFacts {
         let elapsed_ms = |since: Instant| duration::to_ms(since.elapsed());
         ClientConnectionFacts {
@@ -88,12 +90,12 @@
         }
     }
 
-    /// Returns the requests to the connection's task to close the connection.
+    /// Returns the signals that ask the connection's task to close the connection.
     pub(super) fn close_signals(&self) -> &CloseSignals {
         &self.close_signals
     }
 
-    /// Returns when the connection is evicted, compared with other connections.
+    /// Returns the rank of the connection in the order of eviction.
     pub(super) fn eviction_rank(&self) -> EvictionRank {
         EvictionRank {
             is_between_requests: self.incomplete_since.get().is_none(),
@@ -102,10 +104,10 @@
     }
 }
 
-/// Receiving requests.
+/// Tracking of the requests that are received.
 impl ConnectionState {
-    /// Records that bytes have been read. A request begins with them, unless one has begun or they belong to
-    /// a body.
+    /// Records that bytes have been read. The bytes begin a request, unless one has already begun or they
+    /// belong to a body.
     pub(super) fn record_bytes_received(&self) {
         self.has_received_bytes.set(true);
         if !self.is_receiving_body.get() && self.incomplete_since.get().is_none() {
@@ -123,13 +125,13 @@
         self.last_arrival.set(arrival);
     }
 
-    /// Returns when the last byte of the request arrived that has just become complete.
+    /// Returns when the last byte of the request that has just become complete arrived.
     pub(super) fn last_arrival(&self) -> Arrival {
         self.last_arrival.get()
     }
 
-    /// Records that hyper has read a request to its end. hyper may read on before the handler of the request
-    /// begins.
+    /// Records that hyper has read a request to its end. This is recorded before the handler of the request
+    /// begins, because hyper may try to read more before that.
     pub(super) fn record_request_read_by_hyper(&self) {
         self.unanswered_requests.set(self.unanswered_requests.get() + 1);
     }
@@ -140,8 +142,8 @@
         self.is_receiving_body.set(true);
     }
 
-    /// Returns when the open request began. Bytes that arrive from now on belong to the next request, except
-    /// for those of the body.
+    /// Returns when the open request began to arrive. Bytes that arrive from now on belong to the next
+    /// request, except for those of the body.
     pub(super) fn take_request_start(&self) -> Instant {
         self.incomplete_since.take().unwrap_or_else(Instant::now)
     }
@@ -163,22 +165,22 @@
     }
 }
 
-/// Responding.
+/// Tracking of the responses.
 impl ConnectionState {
     /// Returns whether hyper has read a request whose response is not ready.
     pub(super) fn awaits_response(&self) -> bool {
         self.unanswered_requests.get() > 0
     }
 
-    /// Begins to watch for a disconnect of the client, until the returned guard is dropped.
+    /// Watches for a disconnect of the client until the returned guard is dropped.
     pub(super) fn watch_for_disconnect(&self) -> DisconnectWatch<'_> {
-        self.watches_disconnect.set(true);
+        self.is_watching_for_disconnect.set(true);
         DisconnectWatch { state: self }
     }
 
-    /// Returns whether a disconnect of the client is watched for.
-    pub(super) fn watches_disconnect(&self) -> bool {
-        self.watches_disconnect.get()
+    /// Returns whether the client is watched for a disconnect.
+    pub(super) fn is_watching_for_disconnect(&self) -> bool {
+        self.is_watching_for_disconnect.get()
     }
 
     /// Records that the response to the open request is ready to be written.
@@ -201,8 +203,8 @@
         self.has_last_response.get()
     }
 
-    /// Records that everything which was to be written has been written. Returns whether a response was among
-    /// it. Another request may be open, as hyper may have read it before.
+    /// Records that all pending output has been written, and returns whether it included a response. Another
+    /// request may still be open, because hyper may have read that request before the flush.
     pub(super) fn record_flush(&self) -> bool {
         let written_responses = self.unwritten_responses.take();
         if written_responses == 0 {
@@ -216,14 +218,14 @@
     }
 }
 
-/// A disconnect of the client is watched for. Dropping this ends the watch.
+/// Guard during whose lifetime the client is watched for a disconnect. Dropping the guard ends the watch.
 pub(super) struct DisconnectWatch<'s> {
     state: &'s ConnectionState,
 }
 
 impl Drop for DisconnectWatch<'_> {
     fn drop(&mut self) {
-        self.state.watches_disconnect.set(false);
+        self.state.is_watching_for_disconnect.set(false);
     }
 }
 
--- a/limiter/src/frontend/connection_state/tests.rs
+++ b/limiter/src/frontend/connection_state/tests.rs
@@ -1,11 +1,11 @@
-//! The state across pipelined requests.
+//! Tests of the connection state across pipelined requests.
 
 use super::*;
 
-/// hyper may start the next pipelined request before the response to the previous one is written. The end of
-/// that response must not allow the connection to be closed while the next request is open.
+/// hyper may start the next pipelined request before the response to the previous one is written. When that
+/// response has been written, the connection must stay open for the next request.
 #[test]
-fn a_written_response_leaves_the_next_request_open() {
+fn connection_stays_open_for_the_next_pipelined_request() {
     let state = ConnectionState::new();
     state.record_head_received();
     state.record_response_ready();
--- a/limiter/src/frontend/connections.rs
+++ b/limiter/src/frontend/connections.rs
@@ -11,18 +11,18 @@
 use super::connection_state::ConnectionState;
 use super::read_ahead::{ReadAheadMemory, ReadAheadShare};
 
-/// How often connections are checked for being overdue. A few passes a second cost less than a timer for each
-/// request.
+/// Interval at which the table is searched for overdue connections. A few searches per second cost less than
+/// a timer for each request.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Identifies a connection; ids ascend in the order of the accepts.
+/// Identifies a connection. Ids ascend in the order in which connections were accepted.
 pub(super) type ConnectionId = u64;
 
-/// The open client connections.
+/// The table of open client connections.
 pub(super) struct Connections {
-    /// Ordered by id, hence in the order in which they were accepted.
+    /// Ordered by id, and thus in the order in which the connections were accepted.
     by_id: RefCell<BTreeMap<ConnectionId, Rc<ConnectionState>>>,
-    /// The id given to the newest connection.
+    /// The id of the connection that was added last.
     last_id: Cell<ConnectionId>,
     /// Notified when a connection has closed.
     closed: Notify,
@@ -31,8 +31,8 @@
 }
 
 impl Connections {
-    /// Creates an empty table. `read_ahead_bytes` bounds the bytes that are read ahead on all connections
-    /// together, beyond those that are guaranteed to each connection.
+    /// Creates an empty table. `read_ahead_bytes` limits the total of the bytes that connections read ahead
+    /// beyond the bytes that are guaranteed to each of them.
     pub(super) fn new(read_ahead_bytes: usize) -> Connections {
         Connections {
             by_id: RefCell::default(),
@@ -43,9 +43,9 @@
         }
     }
 
-    /// Returns a new connection's share of the memory for reading ahead.
-    pub(super) fn share_read_ahead_memory(&self) -> ReadAheadShare {
-        self.read_ahead_memory.share()
+    /// Creates the share of a new connection in the memory for reading ahead.
+    pub(super) fn new_read_ahead_share(&self) -> ReadAheadShare {
+        self.read_ahead_memory.new_share()
     }
 
     /// Returns the number of open connections.
@@ -53,7 +53,7 @@
         self.by_id.borrow().len()
     }
 
-    /// Adds a connection that has just been accepted. It is removed when the returned guard is dropped.
+    /// Adds a connection that has just been accepted. Dropping the returned guard removes the connection.
     pub(super) fn add(self: &Rc<Self>) -> OpenConnection {
         let id = self.last_id.get() + 1;
         self.last_id.set(id);
@@ -67,15 +67,15 @@
         self.closed.notified()
     }
 
-    /// Returns whether the graceful shutdown of the connections has begun: no requests are accepted but those
-    /// that were already on their way.
+    /// Returns whether the graceful shutdown of the connections has begun. From then on, a response ends its
+    /// connection unless another request has been pipelined after the answered one.
     pub(super) fn is_shutting_down(&self) -> bool {
         self.is_shutting_down.get()
     }
 
-    /// Closes connections that have been idle for too long, or whose request has not arrived completely in
-    /// time. Runs in a separate task and never completes. Cancelling only ends the checks: nothing is
-    /// borrowed or changed during the sleep.
+    /// Closes the connections that are overdue: idle for too long, with a request that has not arrived
+    /// completely in time, or with a response that the client does not read. Runs in a separate task and
+    /// never completes. Cancelling only ends the checks: nothing is borrowed or changed during the sleep.
     pub(super) async fn sweep(self: Rc<Self>) {
         loop {
             tokio::time::sleep(SWEEP_INTERVAL).await;
@@ -93,8 +93,9 @@
         self.by_id.borrow().values().any(|state| state.facts(is_shutting_down).blocks_shutdown())
     }
 
-    /// Closes the connection of the lowest [`ConnectionState::eviction_rank`], if any may be evicted. Clients
-    /// with idle connections or partial requests must not exclude other clients.
+    /// Closes the connection with the lowest [`ConnectionState::eviction_rank`] among those that may be
+    /// evicted, if there is one. Clients with idle connections or partial requests must not keep out other
+    /// clients.
     pub(super) fn evict_one(&self) {
         let is_shutting_down = self.is_shutting_down();
         let by_id = self.by_id.borrow();
@@ -104,22 +105,22 @@
         }
     }
 
-    /// Begins the graceful shutdown of all connections. Each connection's task then does one of three things:
+    /// Begins the graceful shutdown of all connections. The task of a connection does one of three things:
     ///
-    /// - A connection that is idle between two requests, with nothing read ahead, is closed for reading and
-    ///   writing by hyper (1.12, `Conn::disable_keep_alive`) within the call itself, whatever the kernel has
-    ///   received for it. Nothing of that is read, let alone forwarded, and the client sends the request
-    ///   again.
-    /// - A new connection of which nothing has been read is closed in the same way.
-    /// - On any other connection a request is open, read ahead, or partially read. All requests that were
+    /// - If the connection is idle between two requests and nothing has been read ahead, hyper (1.12,
+    ///   `Conn::disable_keep_alive`) closes it for reading and writing within the call of
+    ///   `graceful_shutdown`, even if the kernel has received bytes for the connection. These bytes are not
+    ///   read, so that no request in them is forwarded, and the client sends the request again.
+    /// - If nothing has been read of a new connection, hyper closes it in the same way.
+    /// - On any other connection, a request is open, read ahead, or partially read. All requests that were
     ///   read are answered completely, the last one with `Connection: close`, and nothing after it is read.
-    ///   A connection whose response was already being written is examined again when the response has been
-    ///   written.
+    ///   If a response was already being written, the connection is examined again when the response has
+    ///   been written.
     ///
-    /// So no request is read whose response could not be written.
+    /// In all cases, no request is read whose response could not be written.
     ///
-    /// A connection that has just been accepted has a request on its way. It is not asked to shut down, and
-    /// ends with the response.
+    /// A connection on which a request is probably in transit, such as one that has just been accepted, is
+    /// not asked to shut down. It ends with the response to that request.
     pub(super) fn shut_down(&self) {
         self.is_shutting_down.set(true);
         for state in self.by_id.borrow().values() {
--- a/limiter/src/frontend/read_ahead/buffer.rs
+++ b/limiter/src/frontend/read_ahead/buffer.rs
@@ -1,4 +1,4 @@
-//! Bytes that were read ahead of hyper, each with the time of its arrival.
+//! Bytes that were read ahead of hyper, with the times of their arrival.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -10,36 +10,37 @@
 use super::request_framer::RequestFramer;
 use crate::runtime::arrival::Arrival;
 
-/// Largest number of chunks in a buffer. Each chunk has its time of arrival and some overhead: a client that
-/// sends byte by byte must not take that memory for each byte.
+/// Largest number of chunks in a buffer; further bytes are added to the last chunk. Each chunk stores its
+/// time of arrival and has some overhead: a client that sends byte by byte must not occupy that memory for
+/// each byte.
 const MAX_CHUNKS: usize = 16;
-/// Bytes that arrive within this time of the first byte of a chunk are added to that chunk, and count as
-/// having arrived at the same time as its first byte.
+/// Bytes that arrive within this time of the first byte of a chunk are added to that chunk, and are treated
+/// as having arrived at the same time as its first byte.
 const MIN_CHUNK_INTERVAL: Duration = Duration::from_millis(10);
 
-/// The bytes do not fit into the memory that the connection may take.
+/// Returned when bytes do not fit into the memory that is available to the connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("the read-ahead buffer is full")]
 pub struct BufferFull;
 
-/// Bytes that arrived together.
+/// Bytes that are treated as having arrived together.
 struct Chunk {
     bytes: BytesMut,
     /// When the first of the bytes arrived.
     arrival: Arrival,
 }
 
-/// The bytes that a client has sent after its open request, in their order.
+/// The bytes that a client has sent after its open request, in the order in which they arrived.
 pub struct ReadAheadBuffer {
     chunks: VecDeque<Chunk>,
     /// Number of bytes in all chunks.
     length: usize,
-    /// The memory that the bytes may take.
+    /// The memory that is reserved for the bytes.
     memory: ReadAheadShare,
 }
 
 impl ReadAheadBuffer {
-    /// Creates an empty buffer that takes its memory from `memory`.
+    /// Creates an empty buffer that reserves its memory from `memory`.
     pub fn new(memory: ReadAheadShare) -> ReadAheadBuffer {
         ReadAheadBuffer { chunks: VecDeque::new(), length: 0, memory }
     }
@@ -68,9 +69,9 @@
         Ok(())
     }
 
-    /// Returns bytes that hyper read past the end of a request to the front of the buffer. hyper reads the
-    /// socket only while the buffer is empty, and one read of hyper is shorter than the guarantee of each
-    /// connection, so that the memory for the bytes is always available.
+    /// Inserts bytes that a read by hyper took from the socket past the end of a request at the front of the
+    /// buffer. hyper reads the socket only while the buffer is empty, and one read by hyper is shorter than
+    /// the bytes that are guaranteed to each connection, so that the memory is always available.
     pub fn push_front(&mut self, bytes: &[u8], arrival: Arrival) {
         self.length += bytes.len();
         self.memory.resize(self.length);
@@ -78,8 +79,8 @@
     }
 
     /// Moves bytes of the first chunk into `output`, up to the end of the request that `framer` follows.
-    /// Returns when they arrived, or `None` if nothing is buffered. One call moves bytes of one chunk only,
-    /// so that all of them arrived together.
+    /// Returns when the bytes arrived, or `None` if nothing is buffered. One call moves bytes of one chunk
+    /// only, so that they have one time of arrival.
     pub fn read_into(&mut self, output: &mut ReadBuf<'_>, framer: &mut RequestFramer) -> Option<Arrival> {
         let chunk = self.chunks.front_mut()?;
         let max_length = chunk.bytes.len().min(output.remaining());
--- a/limiter/src/frontend/read_ahead/client_socket.rs
+++ b/limiter/src/frontend/read_ahead/client_socket.rs
@@ -1,4 +1,4 @@
-//! A client's socket, as the engine and the request handler see it.
+//! The view of a client's socket that the engine and the request handler have.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -14,12 +14,12 @@
 }
 
 impl ClientSocket {
-    /// Creates a view of the socket of a connection with this state.
+    /// Creates a view of the socket of the connection with the given state.
     pub fn new(read_ahead: Rc<RefCell<ReadAhead>>, state: Rc<ConnectionState>) -> ClientSocket {
         ClientSocket { read_ahead, state }
     }
 
-    /// Returns whether the next request, or a part of it, was read while the present one is open.
+    /// Returns whether the next request, or a part of it, was read while the current one is open.
     pub fn has_pipelined_bytes(&self) -> bool {
         self.read_ahead.borrow().has_bytes()
     }
--- a/limiter/src/frontend/read_ahead/memory.rs
+++ b/limiter/src/frontend/read_ahead/memory.rs
@@ -1,46 +1,46 @@
-//! The bound on the bytes that are read ahead on all client connections together.
+//! Limits the total of the bytes that are read ahead on all client connections.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// Bytes that each connection may buffer, whatever other connections buffer. The memory that the connection
-/// limits reserve for one connection covers this.
+/// Number of bytes that each connection may buffer regardless of other connections. The memory that the
+/// connection limits reserve for one connection includes these bytes.
 pub const GUARANTEED_BYTES: usize = 32 << 10;
 
-/// Memory that connections share for what they buffer beyond [`GUARANTEED_BYTES`].
+/// Memory that connections share for the bytes that they buffer beyond [`GUARANTEED_BYTES`].
 pub struct ReadAheadMemory {
     free_bytes: Rc<Cell<usize>>,
 }
 
 impl ReadAheadMemory {
-    /// Creates a memory of `bytes` bytes, all of which are free.
+    /// Creates a shared memory of `bytes` bytes, all of which are free.
     pub fn new(bytes: usize) -> ReadAheadMemory {
         ReadAheadMemory { free_bytes: Rc::new(Cell::new(bytes)) }
     }
 
-    /// Returns the share of a new connection, which has taken nothing yet.
-    pub fn share(&self) -> ReadAheadShare {
-        ReadAheadShare { free_bytes: self.free_bytes.clone(), taken_bytes: 0 }
+    /// Creates the share of a new connection, which has reserved nothing yet.
+    pub fn new_share(&self) -> ReadAheadShare {
+        ReadAheadShare { free_bytes: self.free_bytes.clone(), reserved_bytes: 0 }
     }
 }
 
-/// The memory that one connection has taken. Dropping the share returns it.
+/// The shared memory that one connection has reserved. Dropping the share releases the memory.
 pub struct ReadAheadShare {
     free_bytes: Rc<Cell<usize>>,
-    taken_bytes: usize,
+    reserved_bytes: usize,
 }
 
 impl ReadAheadShare {
-    /// Takes or returns memory until the share suffices for `length` buffered bytes. Returns `false`, and
-    /// changes nothing, if not enough is free. A smaller length than before always succeeds.
+    /// Reserves or releases memory so that the connection can buffer `length` bytes. Returns `false`, and
+    /// changes nothing, if too little memory is free. Always succeeds for a smaller length than before.
     pub fn resize(&mut self, length: usize) -> bool {
         let needed_bytes = length.saturating_sub(GUARANTEED_BYTES);
-        let available_bytes = self.free_bytes.get() + self.taken_bytes;
+        let available_bytes = self.free_bytes.get() + self.reserved_bytes;
         if needed_bytes > available_bytes {
             return false;
         }
         self.free_bytes.set(available_bytes - needed_bytes);
-        self.taken_bytes = needed_bytes;
+        self.reserved_bytes = needed_bytes;
         true
     }
 }
--- a/limiter/src/frontend/read_ahead/memory/tests.rs
+++ b/limiter/src/frontend/read_ahead/memory/tests.rs
@@ -1,12 +1,12 @@
-//! Sharing of the memory for reading ahead.
+//! Tests of the memory that connections share for reading ahead.
 
 use super::{ReadAheadMemory, GUARANTEED_BYTES};
 
 #[test]
 fn connections_share_the_memory_beyond_the_guarantee() {
     let memory = ReadAheadMemory::new(1000);
-    let mut one = memory.share();
-    let mut other = memory.share();
+    let mut one = memory.new_share();
+    let mut other = memory.new_share();
     assert!(one.resize(GUARANTEED_BYTES + 600));
     assert!(!other.resize(GUARANTEED_BYTES + 401));
     assert!(other.resize(GUARANTEED_BYTES + 400));
--- a/limiter/src/frontend/read_ahead/mod.rs
+++ b/limiter/src/frontend/read_ahead/mod.rs
@@ -1,4 +1,4 @@
-//! Reading a client's socket ahead of hyper.
+//! Reads a client's socket ahead of hyper.
 //!
 //! hyper is given one request at a time, so that the limiter knows whether more bytes follow an open request.
 //! While a response is awaited, hyper does not read and would not see that the client disconnects.
@@ -10,9 +10,9 @@
 //! | module | job |
 //! | --- | --- |
 //! | [`stream`] | the stream that hyper serves: one request at a time, buffered bytes first |
-//! | [`client_socket`] | the same socket as the engine sees it: is the client still connected? |
-//! | `mod.rs` | [`ReadAhead`], which both of them share: the socket and the buffered bytes |
-//! | [`buffer`] | the buffered bytes, each with the time of its arrival |
+//! | [`client_socket`] | tells the engine whether the client is still connected |
+//! | `mod.rs` | [`ReadAhead`], the socket and the buffered bytes, which both of them share |
+//! | [`buffer`] | the buffered bytes and the times of their arrival |
 //! | [`memory`] | the bound on the buffered bytes of all connections together |
 //! | [`request_framer`] | finds where requests end |
 
@@ -38,10 +38,11 @@
 pub(super) use memory::{ReadAheadMemory, ReadAheadShare};
 pub(super) use stream::ReadAheadStream;
 
-/// Number of bytes that one call reads while looking for a disconnect. The buffer is on the stack, so that an
+/// Largest number of bytes in one read of a check for a disconnect. The buffer is on the stack, so that an
 /// idle connection needs no memory for it.
 const READ_CHUNK_BYTES: usize = 4096;
-/// Largest number of reads in one check for a disconnect. A client that sends more than this is connected.
+/// Largest number of reads in one check for a disconnect. A client that has sent more than these reads return
+/// is connected.
 const MAX_READS_PER_CHECK: usize = 8;
 
 /// A client's socket, and the bytes that were read from it ahead of hyper.
@@ -49,8 +50,8 @@
     socket: Stream,
     buffer: ReadAheadBuffer,
     clock: Rc<ArrivalClock>,
-    /// Since when the connection may have waited in the accept queue. Applies to the first bytes only, and is
-    /// taken when they are read.
+    /// The earliest time at which the connection may have entered the accept queue, if it may have waited
+    /// there. Applies to the first bytes only, and is cleared when they are read.
     queued_since: Option<Instant>,
 }
 
@@ -66,20 +67,20 @@
         ReadAhead { socket, buffer: ReadAheadBuffer::new(memory), clock, queued_since }
     }
 
-    /// Returns whether bytes were read ahead that hyper has not been given.
+    /// Returns whether any bytes that were read ahead have not been given to hyper.
     pub fn has_bytes(&self) -> bool {
         !self.buffer.is_empty()
     }
 
-    /// Waits until the client disconnects, for as long as `state` says that a disconnect is watched for;
-    /// pending otherwise. hyper is given nothing that follows an open request, so that it would never see the
-    /// end of the stream.
+    /// Completes when the client disconnects. Reads the socket only while the client is watched for a
+    /// disconnect according to `state`, and is pending otherwise. hyper is given nothing that follows an open
+    /// request, and would therefore never see the end of the stream.
     ///
     /// Must be polled by the connection's task after hyper: both then register the same waker. Cancelling
     /// loses no bytes, as everything that was read is stored in `self` before this returns.
     pub fn poll_disconnected(&mut self, state: &ConnectionState, cx: &mut Context<'_>) -> Poll<()> {
         let mut chunk = [0; READ_CHUNK_BYTES];
-        while state.watches_disconnect() {
+        while state.is_watching_for_disconnect() {
             match ready!(self.poll_read_chunk(&mut chunk, cx)) {
                 Ok(length) if length > 0 => self.store(&chunk[..length], state),
                 _ => return Poll::Ready(()),
@@ -88,13 +89,13 @@
         Poll::Pending
     }
 
-    /// Returns whether the client has disconnected, without waiting. Reads ahead what has arrived.
-    /// Reads nothing unless `state` says that a disconnect is watched for: otherwise hyper reads the socket
-    /// itself.
+    /// Returns whether the client has disconnected, without waiting. Reads ahead the bytes that have arrived.
+    /// Reads nothing unless the client is watched for a disconnect according to `state`: otherwise hyper
+    /// reads the socket itself.
     fn is_disconnected(&mut self, state: &ConnectionState) -> bool {
         let mut chunk = [0; READ_CHUNK_BYTES];
         for _ in 0..MAX_READS_PER_CHECK {
-            if !state.watches_disconnect() {
+            if !state.is_watching_for_disconnect() {
                 return false;
             }
             match self.socket.try_read(&mut chunk) {
@@ -114,7 +115,7 @@
     }
 
     /// Buffers bytes that follow an open request. Once the buffer has overflowed, all further bytes are
-    /// dropped, and the connection ends with its response.
+    /// dropped, and the connection ends with the response to the open request.
     fn store(&mut self, received: &[u8], state: &ConnectionState) {
         state.record_bytes_received();
         if state.has_read_ahead_overflowed() {
--- a/limiter/src/frontend/read_ahead/request_framer.rs
+++ b/limiter/src/frontend/read_ahead/request_framer.rs
@@ -1,20 +1,20 @@
-//! Finds where requests end in the bytes of a client.
+//! Finds the end of each request in the bytes of a client.
 
 use bytes::BytesMut;
 
 use crate::frontend::limits::{MAX_HEADERS, MAX_HEAD_BYTES};
 
-/// How much of the present request has been seen.
+/// How much of the current request has been seen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Progress {
     /// The head is incomplete.
     Head(HeadProgress),
-    /// The head is complete, and the body is not.
+    /// The head is complete, and the body is incomplete.
     Body {
-        /// Number of bytes of the body that are missing, at least one.
+        /// Number of missing bytes of the body, at least one.
         remaining: usize,
     },
-    /// The request has been seen to its end.
+    /// The request is complete.
     Complete,
     /// The end of the request cannot be found. hyper will reject the request and end the connection.
     Unknown,
@@ -23,21 +23,22 @@
 /// How much of an incomplete head has been seen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct HeadProgress {
-    /// The request line has begun. Empty lines before it are ignored.
+    /// Whether the request line has begun. Empty lines before the request line are ignored.
     has_begun: bool,
-    /// Nothing but carriage returns has been seen of the present line.
+    /// Whether nothing but carriage returns has been seen of the current line.
     is_line_empty: bool,
 }
 
 /// Progress before the first byte of a request.
-const BEGINNING: Progress = Progress::Head(HeadProgress { has_begun: false, is_line_empty: true });
+const REQUEST_START: Progress = Progress::Head(HeadProgress { has_begun: false, is_line_empty: true });
 
-/// The body of a request cannot be delimited.
+/// Returned when the end of a request's body cannot be found.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("the end of the body is unknown")]
 struct UnknownBodyLength;
 
-/// Finds where requests end, so that hyper is given one at a time and pipelined bytes are noticed.
+/// Finds the end of each request, so that hyper is given one request at a time and pipelined bytes are
+/// detected.
 ///
 /// The framer does not decide which requests are valid: hyper parses the same bytes.
 pub struct RequestFramer {
@@ -46,24 +47,24 @@
 }
 
 impl RequestFramer {
-    /// Creates a framer that has seen nothing.
+    /// Creates a framer that expects the first byte of a request.
     pub fn new() -> RequestFramer {
-        RequestFramer { progress: BEGINNING, head: BytesMut::new() }
+        RequestFramer { progress: REQUEST_START, head: BytesMut::new() }
     }
 
-    /// Returns whether the present request has been seen to its end.
+    /// Returns whether the current request is complete.
     pub fn is_complete(&self) -> bool {
         self.progress == Progress::Complete
     }
 
     /// Begins the next request.
     pub fn begin_next(&mut self) {
-        self.progress = BEGINNING;
+        self.progress = REQUEST_START;
         self.head.clear();
     }
 
-    /// Follows the present request through the next bytes. Returns how many of them belong to it; any others
-    /// are pipelined after it.
+    /// Processes the next bytes. Returns how many of them belong to the current request; any others are
+    /// pipelined after the request.
     pub fn advance(&mut self, bytes: &[u8]) -> usize {
         let mut length = 0;
         while length < bytes.len() {
@@ -78,13 +79,13 @@
         length
     }
 
-    /// Follows the head up to the empty line that ends it. Returns how many of the bytes belong to the head.
+    /// Processes the head up to its final empty line. Returns how many of the bytes belong to the head.
     fn advance_head(&mut self, bytes: &[u8], mut progress: HeadProgress) -> usize {
         for (index, byte) in bytes.iter().enumerate() {
             if *byte == b'\n' && progress.is_line_empty && progress.has_begun {
                 self.head.extend_from_slice(&bytes[..=index]);
                 self.progress = match body_length(&self.head) {
-                    Ok(length) => progress_before_body(length),
+                    Ok(length) => body_progress(length),
                     Err(UnknownBodyLength) => Progress::Unknown,
                 };
                 return index + 1;
@@ -99,16 +100,16 @@
         bytes.len()
     }
 
-    /// Follows the body. Returns how many of the bytes belong to it.
+    /// Processes the body. Returns how many of the bytes belong to the body.
     fn advance_body(&mut self, bytes: &[u8], remaining: usize) -> usize {
         let length = bytes.len().min(remaining);
-        self.progress = progress_before_body(remaining - length);
+        self.progress = body_progress(remaining - length);
         length
     }
 }
 
-/// Returns the progress of a request whose body is short of `remaining` bytes.
-fn progress_before_body(remaining: usize) -> Progress {
+/// Returns the progress of a request with a complete head, whose body lacks `remaining` bytes.
+fn body_progress(remaining: usize) -> Progress {
     if remaining > 0 {
         Progress::Body { remaining }
     } else {
@@ -131,7 +132,7 @@
         }
         if header.name.eq_ignore_ascii_case("content-length") {
             let value = parse_length(header.value).ok_or(UnknownBodyLength)?;
-            // Repeated lengths must agree.
+            // All declared lengths must be equal.
             if length.is_some_and(|length| length != value) {
                 return Err(UnknownBodyLength);
             }
--- a/limiter/src/frontend/read_ahead/request_framer/tests.rs
+++ b/limiter/src/frontend/read_ahead/request_framer/tests.rs
@@ -1,20 +1,20 @@
-//! Separation of pipelined requests.
+//! Tests of the separation of pipelined requests.
 
 use super::*;
 
 const GET: &str = "GET /a HTTP/1.1\r\nHost: x\r\n\r\n";
 const POST: &str = "POST /a HTTP/1.1\r\nContent-Length: 5\r\n\r\nhello";
 
-/// Returns the lengths of the requests in `bytes`, which the framer is given in pieces of a fixed length.
-fn lengths(bytes: &[u8], piece: usize) -> Vec<usize> {
+/// Passes `bytes` to a framer in pieces of `piece_length` bytes, and returns the lengths of the requests.
+fn request_lengths(bytes: &[u8], piece_length: usize) -> Vec<usize> {
     let mut framer = RequestFramer::new();
     let mut lengths = Vec::new();
     let mut length = 0;
-    for mut rest in bytes.chunks(piece) {
+    for mut rest in bytes.chunks(piece_length) {
         while !rest.is_empty() {
-            let taken = framer.advance(rest);
-            length += taken;
-            rest = &rest[taken..];
+            let consumed = framer.advance(rest);
+            length += consumed;
+            rest = &rest[consumed..];
             if framer.is_complete() {
                 lengths.push(std::mem::take(&mut length));
                 framer.begin_next();
@@ -25,23 +25,23 @@
 }
 
 #[test]
-fn requests_are_separated_wherever_their_bytes_are_split() {
+fn requests_are_separated_for_every_piece_length() {
     let all = [GET, POST, GET, "\r\n", POST].concat();
-    for piece in 1..all.len() {
+    for piece_length in 1..all.len() {
         let expected = [GET.len(), POST.len(), GET.len(), POST.len() + 2];
-        assert_eq!(lengths(all.as_bytes(), piece), expected, "pieces of {piece}");
+        assert_eq!(request_lengths(all.as_bytes(), piece_length), expected, "pieces of {piece_length} bytes");
     }
 }
 
 #[test]
 fn lines_may_end_without_a_carriage_return() {
     let bare = GET.replace('\r', "");
-    assert_eq!(lengths(bare.repeat(2).as_bytes(), 7), [bare.len(), bare.len()]);
+    assert_eq!(request_lengths(bare.repeat(2).as_bytes(), 7), [bare.len(), bare.len()]);
 }
 
-/// A request that cannot be framed is passed to hyper up to the last byte, so that hyper rejects it.
+/// Once a request cannot be framed, all further bytes are passed to hyper, so that hyper rejects the request.
 #[test]
-fn a_request_without_a_known_end_is_passed_on_completely() {
+fn all_bytes_belong_to_a_request_that_cannot_be_framed() {
     for head in [
         "POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n",
         "POST /a HTTP/1.1\r\nContent-Length: 5\r\nContent-Length: 6\r\n\r\n",
--- a/limiter/src/frontend/read_ahead/stream.rs
+++ b/limiter/src/frontend/read_ahead/stream.rs
@@ -1,4 +1,4 @@
-//! The stream that hyper serves.
+//! The byte stream that is given to hyper.
 
 use std::cell::RefCell;
 use std::io;
@@ -13,23 +13,23 @@
 use crate::frontend::connection_state::ConnectionState;
 use crate::runtime::arrival::Arrival;
 
-/// A client's byte stream, one request at a time.
+/// The byte stream of a client, which gives hyper one request at a time.
 ///
-/// Yields the bytes that were read ahead before those in the socket, and no byte of a request before the
-/// response to the one before it is ready. Records in the [`ConnectionState`] when bytes arrive, as hyper
-/// reports a request only once its head is complete, and when all responses are written.
+/// Yields first the bytes that were read ahead, and then those in the socket. Yields no byte of a request
+/// until the response to the previous request is ready. Records in the [`ConnectionState`] when bytes arrive,
+/// because hyper reports a request only once its head is complete, and when all responses have been written.
 pub struct ReadAheadStream {
     read_ahead: Rc<RefCell<ReadAhead>>,
     state: Rc<ConnectionState>,
-    /// Follows the bytes that hyper is given.
+    /// Finds the end of each request in the bytes that hyper is given.
     framer: RequestFramer,
-    /// A read by hyper was refused until the response is written. hyper does not read again by itself, and
-    /// has to be woken.
+    /// Whether a read by hyper was refused until the response is written. hyper does not read again by itself
+    /// and has to be woken.
     has_refused_read: bool,
 }
 
 impl ReadAheadStream {
-    /// Creates the stream of a connection with this state.
+    /// Creates the stream of the connection with the given state.
     pub fn new(read_ahead: Rc<RefCell<ReadAhead>>, state: Rc<ConnectionState>) -> ReadAheadStream {
         ReadAheadStream { read_ahead, state, framer: RequestFramer::new(), has_refused_read: false }
     }
@@ -37,8 +37,8 @@
     /// Returns whether hyper may be given bytes now. Begins the next request if the response to the last one
     /// is ready.
     ///
-    /// After a complete request, hyper reads on to see the end of the stream. That read is refused, and
-    /// [`ReadAhead::poll_disconnected`] looks for the end of the stream instead. hyper reads again when it is
+    /// After a complete request, hyper reads on to detect the end of the stream. This read is refused, and
+    /// [`ReadAhead::poll_disconnected`] detects the end of the stream instead. hyper reads again when it is
     /// woken after the response has been written.
     fn may_read(&mut self) -> bool {
         if !self.framer.is_complete() {
@@ -60,7 +60,7 @@
         arrival.is_some()
     }
 
-    /// Reads the socket. Bytes that follow the end of the present request are moved to the read-ahead buffer.
+    /// Reads the socket. Bytes after the end of the current request are moved to the read-ahead buffer.
     fn poll_read_socket(&mut self, cx: &mut Context<'_>, buffer: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
         let read_ahead = self.read_ahead.clone();
         let mut read_ahead = read_ahead.borrow_mut();
@@ -81,7 +81,7 @@
         result
     }
 
-    /// Records that hyper was given bytes, and whether a request ends with them.
+    /// Records that hyper was given bytes and, if a request ends with them, that hyper has read the request.
     fn record_read(&self, arrival: Arrival) {
         self.state.record_bytes_received();
         self.state.record_bytes_read_by_hyper(arrival);
@@ -126,7 +126,8 @@
         self.read_ahead.borrow().socket.is_write_vectored()
     }
 
-    /// hyper flushes when it has written everything that it has. A read that was refused until then is woken.
+    /// Flushes the socket. hyper flushes when it has written all of its output. If a read was refused until
+    /// then, hyper is woken to read again.
     fn poll_flush(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         let this = self.get_mut();
         let result = Pin::new(&mut this.read_ahead.borrow_mut().socket).poll_flush(cx);
