--- a/limiter/src/frontend/acceptor.rs
+++ b/limiter/src/frontend/acceptor.rs
@@ -1,4 +1,4 @@
-//! Accepts client connections, and drains the accept queue at the end.
+//! Accepts client connections, and drains the accept queue before the listener is closed.
 
 use std::cell::Cell;
 use std::future::{pending, poll_fn};
@@ -13,29 +13,30 @@
 use crate::engine::Engine;
 use crate::net::{Listener, Stream};
 
-/// Pause after an accept that failed because this host's resources are exhausted.
+/// Delay before the next accept after one that failed because the resources of this host are exhausted.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
-/// Largest number of such failures while the accept queue is drained at the shutdown; the queue is abandoned
-/// after the next one. With [`ACCEPT_RETRY_DELAY`] the failures take one second.
-const MAX_SHUTDOWN_RETRIES: u32 = 100;
-/// Longest time that a connection is assumed to have waited in the accept queue. While more and more
-/// connections arrive, the queue is never seen empty, and the real wait of the newest connection is unknown.
+/// Largest number of failed accepts that are retried while the accept queue is drained during the shutdown.
+/// The queue is abandoned at the next failure. With [`ACCEPT_RETRY_DELAY`], the retries take one second.
+const MAX_SHUTDOWN_ACCEPT_RETRIES: u32 = 100;
+/// Longest time that a connection is assumed to have waited in the accept queue. While connections keep
+/// arriving, the queue is never observed to be empty, and how long the newest connection waited is unknown.
 const MAX_QUEUE_WAIT: Duration = Duration::from_secs(1);
 
-/// The listener, until it is closed, and what is needed to serve the connections that it accepts.
+/// Accepts connections until the listener is closed, and starts a task that serves each of them.
 pub(super) struct Acceptor {
     engine: Rc<Engine>,
     connections: Rc<Connections>,
-    /// `None` once it is closed.
+    /// `None` after the listener has been closed.
     listener: Option<Listener>,
-    /// The last accept failed. Further failures in a row are not logged.
+    /// Whether the last accept failed. Only the first of consecutive failures is logged.
     is_failing: bool,
-    /// Since when connections may have had to wait in the accept queue, until the queue is seen empty.
+    /// Time since which connections may have been waiting in the accept queue. Cleared when the queue is
+    /// observed to be empty.
     queued_since: Cell<Option<Instant>>,
 }
 
 impl Acceptor {
-    /// Creates an acceptor that adds the connections which it accepts to a table.
+    /// Creates an acceptor that adds the accepted connections to the table `connections`.
     pub(super) fn new(engine: Rc<Engine>, connections: Rc<Connections>, listener: Listener) -> Acceptor {
         Acceptor {
             engine,
@@ -46,25 +47,25 @@
         }
     }
 
-    /// Returns whether another connection may be opened.
+    /// Returns whether the number of open connections is below its limit.
     pub(super) fn has_capacity(&self) -> bool {
         self.connections.len() < self.engine.config().max_client_connections
     }
 
-    /// Evicts a connection to make room for another one, and records that connections may have to wait in the
-    /// accept queue from now on.
-    pub(super) fn make_room(&self) {
+    /// Evicts a connection so that the next one can be accepted, and records that connections may have to
+    /// wait in the accept queue from now on.
+    pub(super) fn evict_for_next_accept(&self) {
         if self.queued_since.get().is_none() {
             self.queued_since.set(Some(Instant::now()));
         }
         self.connections.evict_one();
     }
 
-    /// Accepts the next connection; pending forever once the listener is closed. Awaited by the accept loop.
-    /// Cancelling loses no connection: it stays in the accept queue.
+    /// Accepts the next connection. Never completes once the listener is closed. Awaited by the accept loop.
+    /// Cancelling loses no connection: a connection that has not been accepted stays in the accept queue.
     ///
     /// # Errors
-    /// The reason why this host cannot accept the connection, which stays in the accept queue.
+    /// The reason why this host cannot accept the connection. The connection stays in the accept queue.
     pub(super) async fn accept(&self) -> io::Result<Stream> {
         let Some(listener) = &self.listener else { return pending().await };
         poll_fn(|cx| {
@@ -77,8 +78,8 @@
         .await
     }
 
-    /// Serves a connection that was accepted, or waits after an accept that failed because this host's
-    /// resources are exhausted. The accept loop awaits this to the end, and accepts no connection during the
+    /// Serves a connection that was accepted, or waits after an accept that failed because the resources of
+    /// this host are exhausted. The accept loop awaits this to the end, and accepts no connection during the
     /// wait.
     pub(super) async fn handle_accepted(&mut self, accepted: io::Result<Stream>) {
         match accepted {
@@ -97,28 +98,28 @@
         connection::spawn(&self.engine, &self.connections, stream, queued_since);
     }
 
-    /// Evicts a connection, whose resources the next accept may use, and waits for [`ACCEPT_RETRY_DELAY`].
+    /// Evicts a connection to free its resources for the next accept, and waits for [`ACCEPT_RETRY_DELAY`].
     /// Cancelling only shortens the wait.
     async fn wait_for_resources(&mut self, error: &io::Error) {
         if !std::mem::replace(&mut self.is_failing, true) {
             tracing::warn!(%error, "accept failed");
         }
-        self.make_room();
+        self.evict_for_next_accept();
         tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
     }
 
-    /// Serves the connections that wait in the accept queue, perhaps with a request, and closes the listener.
-    /// Must be awaited to the end: cancelling closes the listener and resets the connections that still wait.
+    /// Serves the connections in the accept queue, whose clients may already have sent requests, and closes
+    /// the listener. Must be awaited to the end: cancelling closes the listener and resets the connections
+    /// that are still in the queue.
     pub(super) async fn close(&mut self) {
         let Some(listener) = self.listener.take() else { return };
         let mut retries = 0;
-        // The number of accepts is bounded, so that clients which connect without end do not prolong the
-        // shutdown.
+        // The number of accepts is bounded, so that clients that keep connecting do not prolong the shutdown.
         for _ in 0..self.engine.config().max_client_connections {
             match listener.try_accept() {
                 Ok(Some(stream)) => self.serve(stream),
                 Ok(None) => return,
-                Err(error) if retries < MAX_SHUTDOWN_RETRIES => {
+                Err(error) if retries < MAX_SHUTDOWN_ACCEPT_RETRIES => {
                     retries += 1;
                     self.wait_for_resources(&error).await;
                 }
--- a/limiter/src/frontend/close_signals.rs
+++ b/limiter/src/frontend/close_signals.rs
@@ -1,13 +1,13 @@
-//! Requests to a connection's task to close its connection.
+//! Signals that ask a connection's task to close its connection.
 
 use std::cell::Cell;
 
 use tokio::sync::futures::Notified;
 use tokio::sync::Notify;
 
-/// Requests to a connection's task to close its connection, gracefully or at once.
+/// Signals that ask a connection's task to close its connection, gracefully or at once.
 pub(super) struct CloseSignals {
-    /// A graceful shutdown has been requested: the connection is to end as soon as no response is
+    /// Whether a graceful shutdown has been requested: the connection has to end as soon as no response is
     /// outstanding.
     is_shutting_down: Cell<bool>,
     shutdown: Notify,
@@ -15,7 +15,7 @@
 }
 
 impl CloseSignals {
-    /// Creates signals of which none has been requested.
+    /// Creates signals without any pending request.
     pub(super) fn new() -> CloseSignals {
         CloseSignals { is_shutting_down: Cell::new(false), shutdown: Notify::new(), abort: Notify::new() }
     }
@@ -34,21 +34,22 @@
     }
 
     /// Completes when a graceful shutdown is requested. Awaited by the connection's task. A request that is
-    /// made while nobody waits is stored, and cancelling loses none.
+    /// made while the task does not wait is stored, and cancelling loses no request.
     pub(super) fn shutdown_requested(&self) -> Notified<'_> {
         self.shutdown.notified()
     }
 
-    /// Asks the connection's task to close at once, if the connection may still be closed by then.
+    /// Asks the connection's task to close the connection at once. The task ignores this if the connection
+    /// may no longer be closed.
     pub(super) fn request_abort(&self) {
         self.abort.notify_one();
     }
 
-    /// Completes one yield after an abort is requested. Awaited by the connection's task.
+    /// Completes one yield after an abort has been requested. Awaited by the connection's task.
     ///
-    /// A client's request that arrived before the abort was requested has to be read first. After a stall of
-    /// the process, that may need a run of the I/O driver, hence the yield. Cancelling during the yield loses
-    /// the abort; the sweep or the eviction that requested it requests it again.
+    /// A request of the client that arrived before the abort was requested has to be read first. After a
+    /// stall of the process, this may require a run of the I/O driver, hence the yield. Cancelling during the
+    /// yield loses the abort; the sweep or the eviction that requested the abort requests it again.
     pub(super) async fn abort_requested(&self) {
         self.abort.notified().await;
         tokio::task::yield_now().await;
--- a/limiter/src/frontend/response.rs
+++ b/limiter/src/frontend/response.rs
@@ -8,7 +8,7 @@
 
 use crate::messages::request::FinalResponse;
 
-/// A response to a client. The complete body is in memory.
+/// A response to a client, with its complete body in memory.
 pub(super) type ClientResponse = Response<Full<Bytes>>;
 
 /// Returns a response without a body.
@@ -33,7 +33,7 @@
     }
 }
 
-/// Makes hyper end the connection after this response, and announces that to the client.
+/// Makes hyper close the connection after this response, and announces that to the client.
 pub(super) fn close_connection(response: &mut ClientResponse) {
     response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
 }
--- a/limiter/src/frontend/server.rs
+++ b/limiter/src/frontend/server.rs
@@ -11,16 +11,16 @@
 use crate::net::Listener;
 use crate::runtime::duration;
 
-/// How often the accept loop checks whether another connection may be opened, or a step of the shutdown is
-/// due.
+/// Interval at which the accept loop checks whether another connection may be opened, or whether a step of
+/// the shutdown is due.
 const TICK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Accepts and serves connections until `stop` yields the name of a signal, then shuts down gracefully:
-/// shuts down the connections, closes the listener, and returns once every request that was accepted is
+/// Accepts and serves connections until `stop` yields the name of a signal, and shuts down gracefully after
+/// that: shuts down the connections, closes the listener, and returns once every accepted request has been
 /// answered, or the shutdown has taken the longest time that [`limiter_core::rules::may_exit`] allows.
 ///
-/// Awaited by `main`, whose runtime ends after this returns and cancels the tasks that are left. Cancelling
-/// closes the listener and leaves the connections' tasks running.
+/// Awaited by `main`. When this function has returned, `main` drops the runtime, which cancels the remaining
+/// tasks. Cancelling this future closes the listener and leaves the tasks of the connections running.
 pub async fn serve(engine: &Rc<Engine>, listener: Listener, stop: impl Future<Output = &'static str>) {
     let connections = Rc::new(Connections::new(engine.config().max_read_ahead_bytes));
     tokio::task::spawn_local(connections.clone().sweep());
@@ -31,7 +31,7 @@
     loop {
         let has_capacity = acceptor.has_capacity();
         if !has_capacity {
-            acceptor.make_room();
+            acceptor.evict_for_next_accept();
         }
         if let Some(shutdown) = &mut shutdown {
             if shutdown.advance(&connections, &mut acceptor).await {
@@ -39,7 +39,7 @@
             }
         }
         let needs_tick = shutdown.is_some() || !has_capacity;
-        // Every branch is safe to cancel: an event that it misses is found in the next iteration.
+        // Every branch may be cancelled: the next iteration sees an event that a cancelled branch missed.
         tokio::select! {
             accepted = acceptor.accept(), if has_capacity => acceptor.handle_accepted(accepted).await,
             signal = &mut stop, if shutdown.is_none() => {
--- a/limiter/src/frontend/shutdown.rs
+++ b/limiter/src/frontend/shutdown.rs
@@ -1,4 +1,4 @@
-//! The graceful shutdown, from the signal to the return of the server.
+//! The steps of the graceful shutdown, from the signal to the return of the server.
 
 use std::time::Duration;
 
@@ -10,24 +10,25 @@
 use crate::runtime::duration;
 use crate::runtime::event_loop::read_pending_input;
 
-/// How long new connections are accepted after the open ones were shut down. A client sends a request again,
-/// on a new connection, if the request raced with the end of its keep-alive connection.
-const RESENT_ACCEPT_TIME: Duration = Duration::from_millis(200);
+/// How long new connections are accepted after the open ones have been shut down. A client whose request
+/// raced with the end of its keep-alive connection sends the request again, on a new connection.
+const RESEND_GRACE_PERIOD: Duration = Duration::from_millis(200);
 
-/// The step that is due next.
+/// The step that has to be taken next.
 ///
-/// The time of each step counts from the moment at which the step before was really taken, not from the
-/// signal. After a stall of the process across several steps, these would otherwise all be taken at once, and
-/// requests that arrived during the stall would be lost.
+/// The delay of each step after the first is measured from the time at which the previous step was actually
+/// taken, not from the signal. Otherwise, after a stall of the process across several steps, all of these
+/// would be taken at once, and requests that arrived during the stall would be lost.
 enum NextStep {
-    /// Clients still use their connections and open new ones. All requests are served while there is time.
+    /// Shut down the open connections. Until then, clients use their connections and open new ones, and all
+    /// requests are served.
     ShutDownConnections,
-    /// The open connections were shut down gracefully. New ones are still accepted.
+    /// Close the listener. The open connections have been shut down, and new ones are still accepted.
     CloseListener {
         /// When the connections were shut down.
         shut_down_at: Instant,
     },
-    /// The listener is closed. The open requests are being finished.
+    /// Return from the server. The listener is closed, and the open requests are being finished.
     Return {
         /// When the listener was closed.
         closed_at: Instant,
@@ -37,7 +38,7 @@
 /// A graceful shutdown in progress.
 pub(super) struct Shutdown {
     signalled_at: Instant,
-    /// How long all requests are served as before, counted from the signal.
+    /// How long after the signal all requests are still served as before.
     serve_for: Duration,
     next_step: NextStep,
 }
@@ -48,7 +49,8 @@
         Shutdown { signalled_at: Instant::now(), serve_for, next_step: NextStep::ShutDownConnections }
     }
 
-    /// Takes the steps that are due. Returns whether the server is to return.
+    /// Takes the steps that are due. Returns whether the server has to return. If the rules allow this, the
+    /// requests that have arrived are read, and the rules are applied again.
     ///
     /// Awaited to the end by the accept loop, which accepts no connection during that time. Must not be
     /// cancelled: [`Acceptor::close`] would drop connections that wait to be accepted.
@@ -62,7 +64,7 @@
         may_exit(&self.facts(connections))
     }
 
-    /// Returns what the rules need to know of the shutdown at this moment.
+    /// Returns the current facts from which the rules decide about the shutdown.
     fn facts(&self, connections: &Connections) -> ShutdownFacts {
         let elapsed_ms = |since: Instant| duration::to_ms(since.elapsed());
         let closed_at = match self.next_step {
@@ -76,8 +78,8 @@
         }
     }
 
-    /// Shuts down the open connections when they have been served for long enough. Requests that have arrived
-    /// are read first.
+    /// Shuts down the open connections when they have been served for [`Shutdown::serve_for`] since the
+    /// signal. Requests that have arrived are read first.
     async fn shut_down_connections_if_due(&mut self, connections: &Connections) {
         let NextStep::ShutDownConnections = self.next_step else { return };
         if self.signalled_at.elapsed() >= self.serve_for {
@@ -87,10 +89,10 @@
         }
     }
 
-    /// Closes the listener when clients had time to send requests again.
+    /// Closes the listener once clients have had time to send requests again.
     async fn close_listener_if_due(&mut self, acceptor: &mut Acceptor) {
         let NextStep::CloseListener { shut_down_at } = self.next_step else { return };
-        if shut_down_at.elapsed() >= RESENT_ACCEPT_TIME {
+        if shut_down_at.elapsed() >= RESEND_GRACE_PERIOD {
             acceptor.close().await;
             self.next_step = NextStep::Return { closed_at: Instant::now() };
         }
