--- a/limiter-core/src/rules/attempts.rs
+++ b/limiter-core/src/rules/attempts.rs
@@ -1,4 +1,4 @@
-//! Whether a request may be attempted, executed once more, or written to a server.
+//! Whether a request may be attempted, executed again, or written to a server.
 
 use crate::event::Millis;
 use crate::settings::Idempotency;
@@ -30,24 +30,24 @@
     /// The request may have been executed, and servers no longer drop its duplicates.
     #[error("the deduplication window has ended")]
     DedupWindowExpired,
-    /// The server is draining or removed, or has been replaced since it was chosen.
+    /// The server is draining or removed, or no longer has the address of the connection.
     #[error("the server does not accept requests")]
     NotServing,
 }
 
-/// The facts that decide whether a request may be executed, possibly for the second time.
+/// The facts that decide whether a request may be executed, for the first time or again.
 #[derive(Debug, Clone, Copy)]
 pub struct ExecutionFacts {
     /// Whether requests of this class may be executed more than once.
     pub idempotency: Idempotency,
     /// Whether an earlier attempt may have been executed.
     pub may_have_executed: bool,
-    /// For how many milliseconds servers continue to drop duplicates of the request; infinite if there is
-    /// nothing to drop.
+    /// For how many milliseconds servers continue to drop duplicates of the request; infinite if no
+    /// attempt can have been executed or if the class uses no idempotency key.
     pub dedup_ends_in_ms: Millis,
 }
 
-/// Checks that executing a request now cannot have its effect twice.
+/// Checks that a request does not take effect twice if it is executed now.
 ///
 /// # Errors
 /// Returns [`AttemptDenied::MayHaveExecuted`] or [`AttemptDenied::DedupWindowExpired`].
@@ -74,11 +74,11 @@
     pub max_attempts: u32,
     /// Whether the latency objective has passed and a later response has no value.
     pub has_no_value: bool,
-    /// The facts on a second execution.
+    /// The facts that decide whether the request may be executed.
     pub execution: ExecutionFacts,
 }
 
-/// Checks that a server may be chosen for a request now, for the first attempt or a retry.
+/// Checks that a server may be chosen for a request now, for the first attempt or for a retry.
 ///
 /// # Errors
 /// Returns the first reason against an attempt, in the order of the checks.
@@ -110,7 +110,7 @@
     /// Whether the chosen server accepts requests at the address of the connection. The start of its process
     /// is not compared.
     pub is_serving: bool,
-    /// Time in milliseconds within which the attempt may begin; negative after the end of that time.
+    /// Time in milliseconds within which the attempt has to begin; negative once this time has passed.
     pub begin_within_ms: Millis,
     /// Time until the deadline of the client in milliseconds.
     pub deadline_in_ms: Millis,
--- a/limiter-core/src/rules/client_connections.rs
+++ b/limiter-core/src/rules/client_connections.rs
@@ -5,20 +5,22 @@
 /// Time in milliseconds for which a response may wait to be written before its connection is closed. Bounds
 /// how long a client that does not read occupies a connection.
 const WRITE_TIMEOUT_MS: Millis = 10_000.0;
-/// Time in milliseconds within which a request has to arrive completely, counted from its first byte, or from
-/// the accept for the first request of a connection. Clients that stall must be answered or closed within
-/// 3 s; the difference is left for the interval at which connections are checked.
+/// Time in milliseconds within which a request has to arrive completely, measured from its first byte, or
+/// from the accept for the first request of a connection. Clients that stall must be answered or disconnected
+/// within 3 s; the rest of that time allows for the interval at which connections are checked.
 pub const INCOMPLETE_REQUEST_TIMEOUT_MS: Millis = 2000.0;
-/// Time in milliseconds after which an idle connection that has been answered is closed.
+/// Time in milliseconds since the last response after which an idle connection is closed.
 const IDLE_TIMEOUT_MS: Millis = 30_000.0;
-/// The same time during a graceful shutdown, in milliseconds.
+/// Time in milliseconds since the last response after which an idle connection is closed during a graceful
+/// shutdown.
 const SHUTDOWN_IDLE_TIMEOUT_MS: Millis = 500.0;
 /// Time in milliseconds for which a connection must have been idle since its last response before it may be
-/// evicted to make room for another connection.
-const MIN_IDLE_BEFORE_EVICTION_MS: Millis = 50.0;
-/// Time in milliseconds for which a connection with an incomplete request must have been inactive before it
-/// may be evicted. Until then, clients that wait in the accept queue are not served.
-const MIN_SILENCE_BEFORE_EVICTION_MS: Millis = 100.0;
+/// evicted so that another connection can be accepted.
+const IDLE_EVICTION_DELAY_MS: Millis = 50.0;
+/// Time in milliseconds for which a connection with an incomplete request must have been idle, since its
+/// accept or its last response, before it may be evicted. Until then, clients that wait in the accept queue
+/// are not served.
+const INCOMPLETE_EVICTION_DELAY_MS: Millis = 100.0;
 
 /// The facts about a client connection that decide whether it may be closed.
 #[derive(Debug, Clone, Copy)]
@@ -27,8 +29,8 @@
     pub open_requests: u32,
     /// For how many milliseconds a response has been waiting to be written, if there is one.
     pub unwritten_for_ms: Option<Millis>,
-    /// For how many milliseconds a request has been arriving, if there is one. On a new connection, the first
-    /// request counts as arriving from the accept on.
+    /// For how many milliseconds a request has been arriving, if one is incomplete. The first request of a
+    /// connection is regarded as arriving from the accept on.
     pub incomplete_for_ms: Option<Millis>,
     /// Time in milliseconds since the connection was accepted or last answered.
     pub idle_ms: Millis,
@@ -38,7 +40,7 @@
 
 impl ClientConnectionFacts {
     /// Returns whether the client has not read a response within [`WRITE_TIMEOUT_MS`].
-    fn is_unread(&self) -> bool {
+    fn has_write_timed_out(&self) -> bool {
         self.unwritten_for_ms.is_some_and(|unwritten_ms| unwritten_ms > WRITE_TIMEOUT_MS)
     }
 
@@ -46,11 +48,11 @@
     /// read the response.
     #[must_use]
     pub fn may_close(&self) -> bool {
-        self.open_requests == 0 || self.is_unread()
+        self.open_requests == 0 || self.has_write_timed_out()
     }
 
     /// Returns whether no response is outstanding and no request is arriving. An idle connection may be
-    /// closed: a request that its client sends at that moment is not read, and the client sends it again.
+    /// closed: a request that its client sends at that moment is not read, and the client retries it.
     #[must_use]
     pub fn is_idle(&self) -> bool {
         self.open_requests == 0 && self.incomplete_for_ms.is_none()
@@ -63,17 +65,17 @@
         let max_idle_ms = if self.is_shutting_down { SHUTDOWN_IDLE_TIMEOUT_MS } else { IDLE_TIMEOUT_MS };
         let is_request_late =
             self.incomplete_for_ms.is_some_and(|incomplete_ms| incomplete_ms > INCOMPLETE_REQUEST_TIMEOUT_MS);
-        let is_overdue = is_request_late || self.idle_ms > max_idle_ms || self.is_unread();
+        let is_overdue = is_request_late || self.idle_ms > max_idle_ms || self.has_write_timed_out();
         is_overdue && self.may_close()
     }
 
-    /// Returns whether the connection may be closed to make room for another connection.
+    /// Returns whether the connection may be closed so that another connection can be accepted.
     #[must_use]
     pub fn may_evict(&self) -> bool {
         let min_idle_ms = if self.incomplete_for_ms.is_some() {
-            MIN_SILENCE_BEFORE_EVICTION_MS
+            INCOMPLETE_EVICTION_DELAY_MS
         } else {
-            MIN_IDLE_BEFORE_EVICTION_MS
+            IDLE_EVICTION_DELAY_MS
         };
         self.may_close() && self.idle_ms > min_idle_ms
     }
@@ -83,13 +85,13 @@
     #[must_use]
     pub fn expects_request_soon(&self) -> bool {
         let is_incomplete = self.incomplete_for_ms.is_some();
-        self.open_requests == 0 && is_incomplete && self.idle_ms < MIN_SILENCE_BEFORE_EVICTION_MS
+        self.open_requests == 0 && is_incomplete && self.idle_ms < INCOMPLETE_EVICTION_DELAY_MS
     }
 
     /// Returns whether the process has to wait for this connection before it may exit: a response is
     /// outstanding, or the connection has been answered and is not closed yet. The process does not wait for
-    /// a connection whose request is incomplete: faulty clients open such connections without end, and a
-    /// limiter that waits for them is missing from service for longer.
+    /// a connection whose request is incomplete: faulty clients keep opening such connections, and waiting
+    /// for them would keep the limiter out of service for longer.
     #[must_use]
     pub fn blocks_shutdown(&self) -> bool {
         self.open_requests > 0 || self.incomplete_for_ms.is_none()
--- a/limiter-core/src/rules/server_connections.rs
+++ b/limiter-core/src/rules/server_connections.rs
@@ -4,7 +4,7 @@
 
 /// Time in milliseconds for which a connection stays unused after a response. Bytes that a faulty server
 /// writes right after a response arrive within this time, and show that the connection must not be reused:
-/// its next request could receive these bytes as a response.
+/// the next request on this connection could receive these bytes as its response.
 const CONNECTION_REUSE_DELAY_MS: Millis = 10.0;
 
 /// The facts about a connection to a server that has carried a response.
@@ -17,7 +17,7 @@
 }
 
 impl ServerConnectionFacts {
-    /// Returns whether the connection may not carry the next request yet.
+    /// Returns whether it is too early for the connection to carry another request.
     #[must_use]
     pub fn is_in_reuse_delay(&self) -> bool {
         self.idle_ms < CONNECTION_REUSE_DELAY_MS
--- a/limiter-core/src/rules/shutdown.rs
+++ b/limiter-core/src/rules/shutdown.rs
@@ -2,10 +2,10 @@
 
 use crate::event::Millis;
 
-/// Time in milliseconds between the close of the listener and the exit, in which the requests of the
-/// connections that were accepted last are read.
+/// Shortest time in milliseconds between the close of the listener and the exit. Requests on the connections
+/// that were accepted last are read in this time.
 const LAST_ACCEPTED_READ_MS: Millis = 50.0;
-/// Longest time in milliseconds from the signal to the exit, whatever is still outstanding.
+/// Longest time in milliseconds from the signal to the exit, regardless of outstanding responses.
 const MAX_SHUTDOWN_MS: Millis = 20_000.0;
 
 /// The facts about a process that has received the signal to shut down.
