--- a/limiter-core/src/admission/cost_classes.rs
+++ b/limiter-core/src/admission/cost_classes.rs
@@ -2,11 +2,12 @@
 
 use std::collections::VecDeque;
 
-/// Number of recent requests whose costs set the bounds of the classes.
+/// Number of recent requests whose costs determine the bounds of the classes.
 const COST_SAMPLES: usize = 256;
 /// Number of classes.
 const CLASSES: usize = 4;
-/// Lower bound of the divisor that the highest class provides, for the time before any cost is known.
+/// Smallest value of [`CostClasses::highest_bound`], which is a divisor: no class has a bound above 0 before
+/// the first cost is known.
 const MIN_HIGHEST_BOUND: f64 = 1e-9;
 
 /// Classes of requests by their cost in quota units.
@@ -41,7 +42,7 @@
         highest_reached.copied().unwrap_or(0.0)
     }
 
-    /// Returns the lower bound of the highest class, as a divisor: never 0.
+    /// Returns the lower bound of the highest class, for use as a divisor: never 0.
     pub fn highest_bound(&self) -> f64 {
         self.lower_bounds[CLASSES - 1].max(MIN_HIGHEST_BOUND)
     }
--- a/limiter-core/src/admission/feedback.rs
+++ b/limiter-core/src/admission/feedback.rs
@@ -1,20 +1,21 @@
-//! The feedback of CASA: moves the slot limit and numBigQueries by the error of the measured latency.
+//! The feedback of CASA: adjusts the slot limit and numBigQueries by the error of the measured latency.
 
 use super::signals::Signals;
 use super::slot_limit::{min_slots, sustainable_slots, INITIAL_SLOT_LIMIT, TARGET_LATENCY_FRACTION};
 use super::Admission;
 use crate::event::Millis;
 
-/// Interval in milliseconds of the control step, and so of the feedback.
+/// Interval in milliseconds between two control steps, and so between two steps of the feedback.
 pub(crate) const CONTROL_STEP_MS: Millis = 100.0;
-/// Milliseconds within which numBigQueries moves by error times damping, at a constant error.
+/// Time in milliseconds in which numBigQueries changes by the error times the damping, while both stay
+/// constant.
 const FULL_CORRECTION_MS: Millis = 1000.0;
-/// Upper bound of alpha. With a larger alpha one costly request takes the whole slot limit while servers are
-/// idle.
+/// Upper bound of alpha. With a larger alpha, one costly request would occupy the whole slot limit while
+/// servers are idle.
 const MAX_ALPHA: f64 = 2.0;
 /// Lower bound of numBigQueries: the slot limit admits at least one costly request.
 const MIN_NUM_BIG_QUERIES: f64 = 1.0;
-/// Error while no latency is known: the servers count as idle.
+/// Error while no latency is known. The servers are then assumed to be idle.
 const ERROR_WITHOUT_LATENCY: f64 = -1.0;
 
 /// CASA's numBigQueries: how many of the costliest requests the slot limit admits at once.
@@ -24,19 +25,20 @@
 }
 
 impl NumBigQueries {
-    /// Starts at the slot limit, so that alpha is 0 and every request takes one slot.
+    /// Creates the value at the start, which is the initial slot limit: alpha is 0, and every request takes
+    /// one slot.
     pub fn new() -> Self {
         NumBigQueries { value: INITIAL_SLOT_LIMIT }
     }
 
-    /// Returns the present value, between 1 and the slot limit.
+    /// Returns the current value, between 1 and the slot limit.
     pub fn value(&self) -> f64 {
         self.value
     }
 
-    /// Scales the value with the slot limit, which has moved from `previous_limit` to `slot_limit`, and
-    /// subtracts the correction. Without a correction alpha stays as it was. The result is high enough for
-    /// alpha not to exceed [`MAX_ALPHA`], and at most the slot limit.
+    /// Scales the value with the slot limit, which has changed from `previous_limit` to `slot_limit`, and
+    /// subtracts the correction. Without a correction, alpha stays the same. The result is at most the slot
+    /// limit, at least [`MIN_NUM_BIG_QUERIES`], and high enough for alpha not to exceed [`MAX_ALPHA`].
     fn adjust(&mut self, previous_limit: f64, slot_limit: f64, correction: f64) {
         let min = (slot_limit / (MAX_ALPHA + 1.0)).max(MIN_NUM_BIG_QUERIES);
         let scaled = self.value * slot_limit / previous_limit;
@@ -45,8 +47,8 @@
 }
 
 impl Admission {
-    /// Makes one step of the feedback, for a limiter that shares `servers` servers with the other `limiters`.
-    /// The slot limit moves first and numBigQueries moves in proportion, so that only the damped correction
+    /// Runs one step of the feedback, for one of `limiters` limiters that share `servers` servers. The slot
+    /// limit is adjusted first and numBigQueries is scaled in proportion, so that only the damped correction
     /// changes alpha.
     pub fn step_feedback(&mut self, now: Millis, servers: usize, limiters: u32) {
         self.cost_classes.update();
@@ -61,7 +63,7 @@
 }
 
 /// Returns the error: smoothed latency relative to the target latency, minus one, plus the fraction of
-/// attempts that full servers rejected.
+/// attempts that servers at capacity rejected.
 fn error(signals: &Signals, now: Millis) -> f64 {
     let rejected_fraction = signals.rejected_fraction(now).unwrap_or(0.0);
     let latency_error = match signals.latency(now) {
@@ -71,9 +73,9 @@
     latency_error + rejected_fraction
 }
 
-/// Returns the damping factor between 0 and 1: the fraction of queued requests for a positive error, and of
-/// admitted requests for a negative one. The 1 in the denominator keeps the factor small while there are few
-/// requests.
+/// Returns the damping factor between 0 and 1: the fraction of queued requests for a positive error, and the
+/// fraction of admitted requests otherwise. The 1 in the denominator keeps the factor small while there are
+/// few requests.
 fn damping(signals: &Signals, now: Millis, error: f64) -> f64 {
     let queued_per_s = signals.queued_per_s(now);
     let admitted_per_s = signals.admitted_per_s(now);
--- a/limiter-core/src/admission/mod.rs
+++ b/limiter-core/src/admission/mod.rs
@@ -1,40 +1,40 @@
 //! Admission control by slots, after CASA: "Classification-based Adjusted Slot Admission Control for Query
 //! Processing Engines" (Zeyl, Venugopal, Sun and Larson).
 //!
-//! Each request is charged a number of *slots* that grows with its expected cost. A request is forwarded
-//! while its slots fit under the *slot limit*, beside those of the attempts in flight, and is queued
-//! otherwise. A feedback on latency sets how many slots costly requests take, so that an overload throttles
-//! costly requests first.
+//! Each request takes a number of *slots* that grows with its expected cost. A request is forwarded if its
+//! slots and those of the attempts in flight do not exceed the *slot limit* together, and is queued
+//! otherwise. A feedback loop on latency determines how many slots costly requests take, so that an overload
+//! throttles costly requests first.
 //!
 //! # Terms
 //!
 //! - **Cost class** (`cost_classes.rs`): one of four ranges of costs, separated at the quartiles of recent
 //!   costs. The lower bound of a request's class is `l`, that of the highest class is `lmax`.
-//! - **Slots of a request** (`slots.rs`): `alpha * l / lmax + 1`, so 1 in the lowest class and `alpha + 1` in
-//!   the highest one.
+//! - **Slots of a request** (`slots.rs`): `alpha * l / lmax + 1`. That is 1 in the lowest class and
+//!   `alpha + 1` in the highest class.
 //! - **Slot limit** (`slot_limit.rs`): the slots that the attempts in flight may occupy together.
 //! - **numBigQueries** (`feedback.rs`): the number of requests of the highest class that the slot limit
 //!   admits at once.
 //! - **alpha**: `slot limit / numBigQueries - 1`. Alpha is 0 at the start, when every request takes one slot.
 //! - **Error** (`feedback.rs`): smoothed latency relative to its target, minus one, plus the fraction of
-//!   attempts that full servers rejected. A positive error means that the servers are overloaded.
+//!   attempts that servers at capacity rejected. A positive error means that the servers are overloaded.
 //! - **Re and Ra** (`signals.rs`): the smoothed rates, per second, of requests that were queued (enqueued)
 //!   and of requests that were admitted.
 //! - **Damping** (`feedback.rs`): the factor by which a correction is reduced, to avoid oscillations. For a
 //!   positive error the factor is `Re / (Re + Ra + 1)`, which the paper calls Fa. For a negative error it is
 //!   `Ra / (Re + Ra + 1)`; the paper mentions such a complementary adjustment without a formula.
 //!
-//! # Who changes the slot limit and numBigQueries
+//! # Changes of the slot limit and numBigQueries
 //!
-//! Only [`Admission::step_feedback`], in each control step: first the slot limit by `SlotLimit::adjust`, then
-//! numBigQueries by `NumBigQueries::adjust`. All other methods record measurements (`signals.rs`) or occupy
-//! and release slots (`slots.rs`).
+//! Only [`Admission::step_feedback`] changes them. In each control step, this method first adjusts the slot
+//! limit with `SlotLimit::adjust` and then numBigQueries with `NumBigQueries::adjust`. All other methods
+//! record measurements (`signals.rs`) or occupy and release slots (`slots.rs`).
 //!
 //! # Differences from the paper
 //!
-//! CASA assumes one coordinator with a fixed limit. Here each limiter has a slot limit, which adapts to what
-//! the servers complete in time; limiters report their latency to each other in gossip. A request's cost in
-//! quota units, declared or estimated, replaces the predicted CPU and memory class.
+//! CASA assumes one coordinator with a fixed limit. Here, each limiter has its own slot limit, which adapts
+//! to what the servers complete in time, and limiters report their latency to each other by gossip. The cost
+//! of a request in quota units, declared or estimated, replaces the predicted CPU and memory class.
 
 mod cost_classes;
 mod feedback;
@@ -60,7 +60,7 @@
     signals: Signals,
 }
 
-/// What admission control has to know about an attempt that has ended.
+/// The properties of an ended attempt that admission control uses.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct AttemptSummary {
     /// How the attempt ended.
@@ -74,7 +74,7 @@
 }
 
 impl Admission {
-    /// Creates admission control that has measured nothing yet.
+    /// Creates admission control without any measurements.
     pub fn new(now: Millis) -> Self {
         Admission {
             cost_classes: CostClasses::default(),
@@ -95,13 +95,13 @@
         self.signals.record_admitted(now);
     }
 
-    /// Records that a request is queued for slots or a server.
+    /// Records that a request is queued because its slots are not free or no server is available.
     pub fn record_queued(&mut self, now: Millis) {
         self.signals.record_queued(now);
     }
 
-    /// Returns the latency that this limiter has measured, as a fraction of the latency objective, for its
-    /// peers.
+    /// Returns the latency that this limiter has measured and reports to its peers, as a fraction of the
+    /// latency objective.
     pub fn local_latency(&self, now: Millis) -> Option<f64> {
         self.signals.local_latency(now)
     }
@@ -116,7 +116,7 @@
         self.signals.adapt_smoothing(now);
     }
 
-    /// Releases the slots of an attempt that has ended, and measures the attempt.
+    /// Releases the slots of an attempt that has ended, and records its measurements.
     pub fn attempt_ended(&mut self, now: Millis, attempt: &AttemptSummary) {
         self.slot_usage.release(attempt.slots);
         if attempt.outcome == Outcome::Cancelled {
--- a/limiter-core/src/admission/signals.rs
+++ b/limiter-core/src/admission/signals.rs
@@ -11,7 +11,7 @@
 const MIN_SMOOTHING_MS: Millis = 1000.0;
 /// Longest time constant of the smoothing in milliseconds.
 const MAX_SMOOTHING_MS: Millis = 10_000.0;
-/// Lower bound in requests per millisecond of a rate that is divided by.
+/// Lower bound of the rate of admitted requests, in requests per millisecond, where the rate is a divisor.
 const MIN_ADMITTED_PER_MS: f64 = 1e-9;
 
 /// Smoothed measurements of one limiter, all with the same time constant.
@@ -19,10 +19,10 @@
 pub(super) struct Signals {
     /// Latency of the attempts of this limiter, as a fraction of the latency objective.
     local_latency: DecayingMean,
-    /// The same, together with the latencies that peers report. Each gossip message with a latency is one
-    /// sample.
+    /// Latency of the attempts of this limiter together with the latencies that peers report, as a fraction
+    /// of the latency objective. Each gossip message with a latency is one sample.
     latency: DecayingMean,
-    /// Fraction of the attempts that full servers rejected.
+    /// Fraction of the attempts that servers at capacity rejected.
     rejected: DecayingMean,
     /// Number of successful responses.
     completed: DecayingSum,
@@ -35,7 +35,7 @@
 }
 
 impl Signals {
-    /// Creates signals without any measurement.
+    /// Creates signals without any measurements.
     pub fn new(now: Millis) -> Self {
         let no_samples = DecayingMean::new(now, MIN_SMOOTHING_MS);
         let zero = DecayingSum::new(now, MIN_SMOOTHING_MS);
@@ -50,21 +50,21 @@
         }
     }
 
-    /// Adapts the time constant to the rate of admitted requests, so that enough samples are smoothed over: a
-    /// limiter of a large fleet sees only a few requests per second.
+    /// Adapts the time constant to the rate of admitted requests, so that measurements are smoothed over
+    /// enough samples: a limiter of a large deployment receives only a few requests per second.
     pub fn adapt_smoothing(&mut self, now: Millis) {
         let admitted_per_ms = self.admitted_per_s(now) / 1000.0;
-        let span_ms = SMOOTHING_SAMPLES / admitted_per_ms.max(MIN_ADMITTED_PER_MS);
-        self.set_span(now, span_ms.clamp(MIN_SMOOTHING_MS, MAX_SMOOTHING_MS));
+        let time_constant_ms = SMOOTHING_SAMPLES / admitted_per_ms.max(MIN_ADMITTED_PER_MS);
+        self.set_time_constant(now, time_constant_ms.clamp(MIN_SMOOTHING_MS, MAX_SMOOTHING_MS));
     }
 
     /// Changes the time constant of all measurements.
-    fn set_span(&mut self, now: Millis, span_ms: Millis) {
+    fn set_time_constant(&mut self, now: Millis, time_constant_ms: Millis) {
         for mean in [&mut self.local_latency, &mut self.latency, &mut self.rejected] {
-            mean.set_time_constant(now, span_ms);
+            mean.set_time_constant(now, time_constant_ms);
         }
         for sum in [&mut self.completed, &mut self.objectives_ms, &mut self.queued, &mut self.admitted] {
-            sum.set_time_constant(now, span_ms);
+            sum.set_time_constant(now, time_constant_ms);
         }
     }
 
@@ -86,8 +86,8 @@
     /// Records the end of an attempt. An attempt that was never executed says nothing about latency.
     pub fn record_attempt(&mut self, now: Millis, attempt: &AttemptSummary) {
         if !attempt.outcome.never_executed() {
-            // Clipped: a heavy request or a hung server counts only as a missed objective, so that a few of
-            // them cannot throttle all traffic.
+            // Capped at 1: a costly request or a hung server is recorded only as a missed objective, so that
+            // a few of them cannot throttle all traffic.
             let latency = (attempt.elapsed_ms / attempt.objective_ms).min(1.0);
             self.local_latency.add(now, latency);
             self.latency.add(now, latency);
@@ -100,19 +100,19 @@
         self.rejected.add(now, if is_rejected { 1.0 } else { 0.0 });
     }
 
-    /// Returns the mean latency of this limiter's attempts as a fraction of the latency objective, if any are
-    /// recent.
+    /// Returns the mean latency of this limiter's attempts as a fraction of the latency objective, or `None`
+    /// without recent samples.
     pub fn local_latency(&self, now: Millis) -> Option<f64> {
         self.local_latency.value(now)
     }
 
-    /// Returns the mean latency at this limiter and its peers as a fraction of the latency objective, if any
-    /// are recent.
+    /// Returns the mean latency at this limiter and its peers as a fraction of the latency objective, or
+    /// `None` without recent samples.
     pub fn latency(&self, now: Millis) -> Option<f64> {
         self.latency.value(now)
     }
 
-    /// Returns the fraction of attempts that full servers rejected, if any attempts ended recently.
+    /// Returns the fraction of attempts that servers at capacity rejected, or `None` without recent samples.
     pub fn rejected_fraction(&self, now: Millis) -> Option<f64> {
         self.rejected.value(now)
     }
@@ -122,8 +122,8 @@
         self.completed.rate(now)
     }
 
-    /// Returns the mean latency objective of the successful responses, or less than the mean once their
-    /// number has decayed to less than one.
+    /// Returns the mean latency objective of the successful responses. Once their number has decayed to less
+    /// than one, the result is less than the mean.
     pub fn mean_objective_ms(&self, now: Millis) -> Millis {
         self.objectives_ms.value(now) / self.completed.value(now).max(1.0)
     }
--- a/limiter-core/src/admission/slot_limit.rs
+++ b/limiter-core/src/admission/slot_limit.rs
@@ -3,23 +3,23 @@
 use super::signals::Signals;
 use crate::event::Millis;
 
-/// Slot limit at the start, and its upper bound. The value is generous, so that the limit binds only after an
-/// overload was measured.
+/// Slot limit at the start, and its upper bound. The value is so high that the limit has an effect only after
+/// an overload has been measured.
 pub(super) const INITIAL_SLOT_LIMIT: f64 = 4096.0;
-/// Lower bound of the slots per server that all limiters have together. With a lower limit too few requests
-/// complete for the limit to grow again.
+/// Lower bound of the slots per server that all limiters have together. With a lower limit, too few requests
+/// would complete for the limit to grow again.
 const MIN_SLOTS_PER_SERVER: f64 = 6.0;
 /// Lower bound of the slot limit of one limiter.
 const MIN_SLOT_LIMIT: f64 = 2.0;
-/// Relative growth of the slot limit in one control step without a positive error. The limit grows by more
-/// where the servers already sustain more.
+/// Relative growth of the slot limit in one control step without a positive error. The limit grows by more if
+/// the servers already sustain more.
 const LIMIT_GROWTH: f64 = 0.03;
-/// Fraction of the slot limit that must be in use for the limit to grow. An unused limit says nothing about
-/// what the servers can take.
+/// Fraction of the slot limit that must be exceeded by the slots in use for the limit to grow. If fewer slots
+/// are in use, the measurements do not show whether the servers sustain a higher limit.
 const MIN_USED_FRACTION: f64 = 0.5;
-/// Fraction of the latency objective that is the target of the feedback. The target is low because latency
-/// shows a queue only after the queued requests are served: with a target of half the objective, a flood had
-/// filled the servers before the error became positive.
+/// The target latency of the feedback, as a fraction of the latency objective. The target is low because
+/// latency shows a queue only after the queued requests are served: with a target of half the objective, a
+/// sudden overload fills the servers before the error becomes positive.
 pub(super) const TARGET_LATENCY_FRACTION: f64 = 0.25;
 
 /// The slot limit of one limiter.
@@ -29,7 +29,7 @@
 }
 
 impl SlotLimit {
-    /// Starts at [`INITIAL_SLOT_LIMIT`].
+    /// Creates a limit of [`INITIAL_SLOT_LIMIT`].
     pub fn new() -> Self {
         SlotLimit { slots: INITIAL_SLOT_LIMIT }
     }
@@ -39,12 +39,12 @@
         self.slots
     }
 
-    /// Makes one step of the feedback.
+    /// Adjusts the limit in one step of the feedback.
     ///
-    /// A positive error lowers the limit, in one step, to the slots that the servers sustain; more attempts
-    /// in flight would only wait at the servers. Any other error raises the limit by [`LIMIT_GROWTH`], but at
-    /// least to what the servers sustain and at most to [`INITIAL_SLOT_LIMIT`], while more than
-    /// [`MIN_USED_FRACTION`] of the limit is in use.
+    /// A positive error lowers a limit above the slots that the servers sustain to these slots, in one step:
+    /// more attempts in flight would only wait at the servers. Any other error raises the limit if more than
+    /// [`MIN_USED_FRACTION`] of the limit is in use: by [`LIMIT_GROWTH`] or to the slots that the servers
+    /// sustain, whichever is higher, but at most to [`INITIAL_SLOT_LIMIT`].
     pub fn adjust(&mut self, error: f64, sustainable_slots: f64, slots_in_use: f64) {
         if error > 0.0 {
             self.slots = self.slots.min(sustainable_slots);
@@ -54,8 +54,8 @@
     }
 }
 
-/// Returns the slots that the servers sustain within the target latency. By Little's law that is the rate of
-/// successful responses times the target latency; at least [`min_slots`].
+/// Returns the slots that the servers sustain within the target latency. By Little's law, this is the rate of
+/// successful responses times the target latency. The result is at least `min_slots`.
 pub(super) fn sustainable_slots(signals: &Signals, now: Millis, min_slots: f64) -> f64 {
     let target_latency_s = TARGET_LATENCY_FRACTION * signals.mean_objective_ms(now) / 1000.0;
     let completed_in_target_time = signals.completed_per_s(now) * target_latency_s;
--- a/limiter-core/src/admission/slots.rs
+++ b/limiter-core/src/admission/slots.rs
@@ -5,8 +5,8 @@
 use crate::event::Millis;
 
 /// Time constant in milliseconds with which the slots of cancelled attempts are released. They are released
-/// gradually because a cancellation need not stop the work at the server.
-const CANCELLED_SPAN_MS: Millis = 1000.0;
+/// gradually because the server may continue to work on a cancelled attempt.
+const CANCELLED_TIME_CONSTANT_MS: Millis = 1000.0;
 
 /// The slots in use at this limiter.
 #[derive(Debug)]
@@ -18,12 +18,12 @@
 }
 
 impl SlotUsage {
-    /// Creates a usage of no slots.
+    /// Creates the state in which no slots are in use.
     pub fn new(now: Millis) -> Self {
-        SlotUsage { occupied: 0.0, cancelled: DecayingSum::new(now, CANCELLED_SPAN_MS) }
+        SlotUsage { occupied: 0.0, cancelled: DecayingSum::new(now, CANCELLED_TIME_CONSTANT_MS) }
     }
 
-    /// Releases the slots of an attempt. The result is bounded below, against rounding errors.
+    /// Releases the slots of an attempt. Rounding errors cannot make the number of occupied slots negative.
     pub fn release(&mut self, slots: f64) {
         self.occupied = (self.occupied - slots).max(0.0);
     }
@@ -46,8 +46,8 @@
         alpha * self.cost_classes.lower_bound(cost_units) / self.cost_classes.highest_bound() + 1.0
     }
 
-    /// Returns whether so many slots are free. A request always fits while no attempt occupies slots:
-    /// otherwise a request that takes more than the slot limit would never be forwarded.
+    /// Returns whether this number of slots is free. While no attempt in flight occupies slots, any number is
+    /// free: otherwise, a request that takes more slots than the slot limit would never be forwarded.
     pub fn has_free_slots(&self, now: Millis, slots: f64) -> bool {
         self.slot_usage.occupied <= 0.0 || self.slot_usage.in_use(now) + slots <= self.slot_limit.slots()
     }
@@ -57,7 +57,7 @@
         self.slot_usage.occupied += slots;
     }
 
-    /// Releases slots of an attempt that is still in flight, at a server that does not respond.
+    /// Releases the slots of an attempt that is still in flight at a server that does not respond.
     pub fn release(&mut self, slots: f64) {
         self.slot_usage.release(slots);
     }
