--- a/limiter-core/src/request/arrival.rs
+++ b/limiter-core/src/request/arrival.rs
@@ -1,17 +1,17 @@
-//! The arrival of a request: validation, rejection of overdue requests, shedding, and the record as pending.
+//! The arrival of a request: validation, rejection of overdue requests, shedding, and the pending record.
 
 use super::pending::PendingRequest;
 use crate::event::{Action, Request};
 use crate::limiter::Limiter;
 
 impl Limiter {
-    /// Handles a request that has arrived. Ignores a request of an unknown class or plan. Also ignores a
-    /// request with the id of a pending request, so that no id is forwarded twice by mistake.
+    /// Handles a request that has arrived. Ignores a request of an unknown class or plan, and a request whose
+    /// id belongs to a pending request, so that no id is forwarded twice by mistake.
     pub(crate) fn on_request(&mut self, mut request: Request, out: &mut Vec<Action>) {
         if !self.is_acceptable(&request) {
             return;
         }
-        self.bring_members_into_range(&mut request);
+        self.clamp_members(&mut request);
         if self.is_overdue_on_arrival(&request) {
             out.push(self.rejection(&request));
             return;
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Returns whether the class and the plan of a request exist and its id is not in use.
+    /// Returns whether the class and the plan of a request exist and no pending request has the same id.
     fn is_acceptable(&self, request: &Request) -> bool {
         let settings = &self.context.settings;
         let has_known_class = request.class < settings.classes.len();
@@ -39,9 +39,9 @@
         has_known_class && has_known_plan && self.requests.get(request.id).is_none()
     }
 
-    /// Clamps the number of members and the position of the first member, which the client declares, to the
-    /// limiters that exist.
-    fn bring_members_into_range(&self, request: &mut Request) {
+    /// Limits the number of members and the position of the first member, which the client declares, to the
+    /// limiters that exist. Positions beyond the last limiter wrap around.
+    fn clamp_members(&self, request: &mut Request) {
         let limiters = self.context.settings.limiters;
         request.member_count = request.member_count.clamp(1, limiters);
         request.first_member %= limiters;
--- a/limiter-core/src/request/attempts.rs
+++ b/limiter-core/src/request/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts: forwarding a request to a server, and recording how that ended.
+//! Attempts: forwarding a request to a server, and recording the end of the attempt.
 
 use super::retry::PossibleExecution;
 use crate::admission::AttemptSummary;
@@ -32,13 +32,13 @@
     pub slots: f64,
     /// Index of the class of the request.
     pub class: usize,
-    /// Whether this limiter cancelled the attempt because no response arrived in time: after a silence check,
-    /// or at the end of its request. The outcome [`Outcome::Cancelled`] then counts as a timeout of the
-    /// server.
+    /// Whether this limiter cancelled the attempt because no response arrived in time: in a silence check, or
+    /// when the request was rejected or failed. If the attempt then ends with [`Outcome::Cancelled`], its end
+    /// is recorded as a timeout of the server.
     pub timed_out: bool,
 }
 
-/// The end of an attempt, as reported by the program.
+/// The end of an attempt, as reported by the caller.
 #[derive(Debug)]
 pub(crate) struct AttemptEnd {
     /// The attempt that ended.
@@ -95,7 +95,8 @@
         out.push(Action::CancelAttempt { id: key.request, attempt: key.number });
     }
 
-    /// Handles the end of an attempt. The end of an unknown attempt matters only if it finishes the request.
+    /// Handles the end of an attempt. The end of an unknown attempt is ignored unless the caller reports
+    /// that the request has finished.
     pub(crate) fn on_attempt_ended(&mut self, end: &AttemptEnd, out: &mut Vec<Action>) {
         let is_known = self.requests.attempts.contains_key(&end.key);
         if !is_known && !end.request_finished {
@@ -113,7 +114,7 @@
     }
 
     /// Records the end of an attempt: releases its slots, updates the latency and the health of its server,
-    /// and remembers whether the request may have been executed.
+    /// and records whether the request may have been executed.
     fn record_attempt_end(&mut self, end: &AttemptEnd) {
         let Some(attempt) = self.requests.attempts.remove(&end.key) else { return };
         let now = self.context.now;
--- a/limiter-core/src/request/final_response.rs
+++ b/limiter-core/src/request/final_response.rs
@@ -1,4 +1,4 @@
-//! The end of a request: its final response, the settlement of its cost, and the disconnect of its client.
+//! The end of a request: its final response, the settlement of its cost, and a disconnect of its client.
 
 use super::pending::PendingRequest;
 use super::queue::max_queue_ms;
@@ -22,17 +22,16 @@
         }
     }
 
-    /// Returns the rejection of a request, with advice on when to retry where clients may be given such
-    /// advice.
+    /// Returns the rejection of a request. The rejection says when to retry if the settings allow it.
     pub(super) fn rejection(&self, request: &Request) -> Action {
         let retry_after_ms =
             if self.context.settings.can_send_retry_after { self.retry_after_ms(request) } else { 0.0 };
         Action::Reject { id: request.id, retry_after_ms }
     }
 
-    /// Returns the time after which a rejected client should retry: the time in which its rate quota refills
-    /// by the cost of the request. Without a rate quota, the longest time that the request would have been
-    /// queued.
+    /// Returns the time in milliseconds after which a rejected client should retry: the time in which its
+    /// rate quota refills by the cost of the request or, without a rate quota, the longest time for which the
+    /// request would have been queued.
     fn retry_after_ms(&self, request: &Request) -> Millis {
         let plan = self.context.plan(request);
         if plan.rate > 0.0 {
@@ -66,7 +65,8 @@
     }
 
     /// Reports the actual cost of a finished request to the owner that granted the units, if the cost differs
-    /// from the expected cost or if the owner counts attempts in flight and so needs to know of each end.
+    /// from the expected cost, or if the owner counts attempts in flight and so has to be notified whenever a
+    /// request finishes.
     fn report_cost(&mut self, owner: u32, pending: &PendingRequest, out: &mut Vec<Action>) {
         let expected_units = pending.request.cost_units;
         let used_units = actual_cost_units(pending);
--- a/limiter-core/src/request/pending.rs
+++ b/limiter-core/src/request/pending.rs
@@ -7,34 +7,35 @@
 /// A quota request whose reply is outstanding.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct AwaitedReply {
-    /// Position of the owner that the quota request was sent to.
+    /// Position of the owner that the quota request is addressed to.
     pub owner: u32,
-    /// When the quota request was sent.
+    /// When the quota request was made. Its message may be sent later, because the send allowance of gossip
+    /// limits the rate of messages.
     pub requested_at: Millis,
 }
 
 /// A request that has no final response yet.
 #[derive(Debug)]
 pub(crate) struct PendingRequest {
-    /// The request as submitted, with the members of its quota brought into range.
+    /// The request as submitted, with the members of its quota limited to the limiters that exist.
     pub request: Request,
     /// When the request arrived at this process.
     pub arrived_at: Millis,
     /// When the request was submitted to the limiter; no earlier than the arrival.
     pub submitted_at: Millis,
-    /// Number of quota owners that have been skipped so far, and so the rank of the present owner.
+    /// Number of quota owners that have been skipped so far. This is also the rank of the current owner.
     pub owner_rank: u32,
-    /// Number of quota requests that have been sent to the present owner.
+    /// Number of quota requests that have been made to the current owner for this request.
     pub quota_requests: u32,
     /// The outstanding quota request, if there is one.
     pub awaited_reply: Option<AwaitedReply>,
     /// Position of the owner that granted the units, or that was notified that they were spent locally.
     pub granting_owner: Option<u32>,
-    /// When the quota admitted the request. The time in the queue is counted from here.
+    /// When the quota admitted the request. The time in the queue is measured from then on.
     pub admitted_at: Millis,
     /// The actual cost in quota units, once a response has reported it.
     pub actual_units: Option<f64>,
-    /// The request is abandoned at this time, unless its response has begun to stream.
+    /// Time at which the request is rejected or fails, unless its response has begun to stream.
     pub deadline: Millis,
     /// Number of attempts that have been started.
     pub attempts: u32,
@@ -73,7 +74,7 @@
         }
     }
 
-    /// Records that an attempt is being sent to a server, and returns the key of that attempt.
+    /// Records that an attempt starts at a server, and returns the key of that attempt.
     pub(super) fn begin_attempt(&mut self, server: ServerId) -> AttemptKey {
         self.attempts += 1;
         self.is_in_flight = true;
@@ -86,13 +87,13 @@
         AttemptKey { request: self.request.id, number: self.attempts - 1 }
     }
 
-    /// Records that a quota request has been sent for this request.
+    /// Records a quota request whose reply is outstanding from now on.
     pub fn await_reply(&mut self, reply: AwaitedReply) {
         self.awaited_reply = Some(reply);
         self.quota_requests += 1;
     }
 
-    /// Skips the present owner of the quota: the next quota request goes to the owner of the next rank.
+    /// Skips the current owner of the quota: the next quota request is made to the owner of the next rank.
     pub fn skip_owner(&mut self) {
         self.owner_rank += 1;
         self.quota_requests = 0;
--- a/limiter-core/src/request/queue.rs
+++ b/limiter-core/src/request/queue.rs
@@ -1,4 +1,4 @@
-//! The queue of requests that are admitted by their quota and need free slots or an available server.
+//! The queue of requests that their quota has admitted and that wait for free slots or an available server.
 
 use super::pending::PendingRequest;
 use crate::context::Context;
@@ -17,7 +17,7 @@
 }
 
 impl PendingRequest {
-    /// Returns whether the request has been queued for too long without a first attempt.
+    /// Returns whether the request has waited for its first attempt for longer than [`max_queue_ms`].
     fn has_queued_too_long(&self, context: &Context) -> bool {
         let max_ms = max_queue_ms(context.class(&self.request));
         self.attempts == 0 && context.now - self.admitted_at > max_ms
@@ -33,9 +33,10 @@
         }
     }
 
-    /// Forwards queued requests, the oldest first, and finishes those that have become overdue. Stops at the
-    /// first request that still cannot be forwarded. Later requests are not examined and may be queued for
-    /// longer than [`max_queue_ms`]; the timers of each request end it in any case.
+    /// Forwards queued requests, the oldest first, and finishes those that have waited for too long, whose
+    /// grant has expired or that may no longer be attempted. Stops at the first request that still cannot be
+    /// forwarded. Later requests are not examined and may be queued for longer than [`max_queue_ms`]; their
+    /// timers finish them in any case.
     pub(crate) fn drain_queue(&mut self, out: &mut Vec<Action>) {
         for _ in 0..self.requests.queue.len() {
             let Some(id) = self.requests.queue.pop_front() else { return };
@@ -56,7 +57,7 @@
     }
 
     /// Forwards a request if its slots are free and a server is available. Returns false if the request has
-    /// to be queued, and true if nothing is left to do here, also when the request has finished.
+    /// to be queued, and true if it has been forwarded or had already finished.
     fn try_forward(&mut self, id: RequestId, out: &mut Vec<Action>) -> bool {
         let Some(pending) = self.requests.pending.get_mut(&id) else { return true };
         let slots = self.admission.slots_for(pending.request.cost_units);
--- a/limiter-core/src/request/retry.rs
+++ b/limiter-core/src/request/retry.rs
@@ -21,7 +21,7 @@
 /// Bounds retries to a fraction of the requests, so that retries cannot multiply an overload.
 #[derive(Debug)]
 pub(crate) struct RetryBudget {
-    /// Retries that may be made now, including the fraction of the next one.
+    /// Number of retries that may be made now. The fractional part counts towards the next retry.
     retries: f64,
 }
 
@@ -31,12 +31,12 @@
         RetryBudget { retries: MAX_RETRIES }
     }
 
-    /// Adds the fraction of a retry that a first attempt pays for.
+    /// Adds [`RETRIES_PER_REQUEST`] for a first attempt, up to [`MAX_RETRIES`] in the budget.
     pub fn deposit(&mut self) {
         self.retries = (self.retries + RETRIES_PER_REQUEST).min(MAX_RETRIES);
     }
 
-    /// Returns whether the budget covers a retry.
+    /// Returns whether the budget allows a retry.
     pub fn allows_retry(&self) -> bool {
         self.retries >= 1.0
     }
@@ -50,9 +50,9 @@
 /// The earliest attempt of a request that may have been executed by its server.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct PossibleExecution {
-    /// When the attempt was sent. The deduplication window of an idempotency key counts from here.
+    /// When the attempt was sent. The deduplication window of an idempotency key is measured from this time.
     pub sent_at: Millis,
-    /// Location of the server, which determines the servers that drop duplicates.
+    /// Location of the server. The location determines which servers drop duplicates of the request.
     pub location: ServerLocation,
 }
 
@@ -73,7 +73,7 @@
         rules::may_attempt(&facts).is_ok()
     }
 
-    /// Collects what decides whether the request may be executed once more.
+    /// Returns the facts that decide whether the request may be executed again.
     fn execution_facts(&self, context: &Context) -> ExecutionFacts {
         ExecutionFacts {
             idempotency: context.class(&self.request).idempotency,
@@ -84,7 +84,7 @@
 
     /// Returns for how many milliseconds servers continue to drop duplicates of this request. The result is
     /// infinite if no attempt can have been executed or if the class uses no idempotency key. The window is
-    /// shortened by one event interval, by which an attempt may be sent late.
+    /// shortened by one event interval, because an attempt may be sent this much late.
     pub(super) fn dedup_ends_in_ms(&self, context: &Context) -> Millis {
         let class = context.class(&self.request);
         match (class.idempotency, self.possible_execution) {
@@ -96,8 +96,8 @@
         }
     }
 
-    /// Returns whether a client may safely send the request again: either executions may be repeated, or no
-    /// attempt can have been executed.
+    /// Returns whether a client may safely send the request again: either the request is idempotent without a
+    /// key, or no attempt can have been executed.
     pub(super) fn is_safe_to_resend(&self, context: &Context) -> bool {
         let is_idempotent = context.class(&self.request).idempotency == Idempotency::Idempotent;
         is_idempotent || (self.possible_execution.is_none() && !self.is_in_flight)
@@ -105,8 +105,8 @@
 }
 
 impl Limiter {
-    /// After an attempt without a good response, makes another attempt if the rules and the retry budget
-    /// allow that, and finishes the request otherwise.
+    /// Retries a request after an attempt without a good response, if the rules and the retry budget allow
+    /// it. Finishes the request otherwise.
     pub(super) fn retry_or_finish(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let is_allowed = self.requests.get(id).is_some_and(|pending| pending.may_be_attempted(&self.context));
         if !is_allowed || !self.retry_budget.allows_retry() {
--- a/limiter-core/src/request/table.rs
+++ b/limiter-core/src/request/table.rs
@@ -1,4 +1,4 @@
-//! The container of all pending requests, of their attempts in flight and of their queue.
+//! The container of the pending requests, the attempts in flight and the queue.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -11,25 +11,25 @@
 pub(crate) struct RequestTable {
     /// Pending requests by id.
     pub pending: BTreeMap<RequestId, PendingRequest>,
-    /// Attempts in flight, including those of requests that have finished: their slots and their count at the
-    /// server are released when they end.
+    /// Attempts in flight, including those of requests that have finished: such an attempt is recorded until
+    /// it ends, because it may occupy slots and is included in the number of attempts at its server.
     pub(super) attempts: BTreeMap<AttemptKey, AttemptRecord>,
     /// Ids of the queued requests, the oldest first. May contain ids of requests that have finished.
     pub(super) queue: VecDeque<RequestId>,
 }
 
 impl RequestTable {
-    /// Returns a pending request.
+    /// Returns the pending request with an id, if there is one.
     pub fn get(&self, id: RequestId) -> Option<&PendingRequest> {
         self.pending.get(&id)
     }
 
-    /// Returns a pending request for modification.
+    /// Returns the pending request with an id for modification, if there is one.
     pub fn get_mut(&mut self, id: RequestId) -> Option<&mut PendingRequest> {
         self.pending.get_mut(&id)
     }
 
-    /// Applies a change to a request, if the request is pending.
+    /// Applies a change to the request with an id, if the request is pending.
     pub fn update(&mut self, id: RequestId, change: impl FnOnce(&mut PendingRequest)) {
         if let Some(pending) = self.pending.get_mut(&id) {
             change(pending);
--- a/limiter-core/src/request/timeouts.rs
+++ b/limiter-core/src/request/timeouts.rs
@@ -8,11 +8,10 @@
 use crate::limiter::Limiter;
 use crate::quota::GRANT_VALIDITY_MS;
 
-/// Event intervals by which a final response precedes the deadline of the client: one by which its timer may
-/// fire late, and one for the delivery of the response.
+/// Number of event intervals by which a final response precedes the deadline of the client: one because the
+/// timer of the deadline may fire this much late, and one for the delivery of the response.
 const DEADLINE_MARGIN_INTERVALS: f64 = 2.0;
-/// Fraction of the latency objective after which an attempt is checked for a silent server for the first
-/// time.
+/// Fraction of the latency objective after which the first silence check of an attempt is due.
 const SILENCE_CHECK_FRACTION: f64 = 0.4;
 /// Multiple of the usual latency of a server after which an attempt at the server times out, if the server
 /// has been silent since the attempt was sent.
@@ -21,8 +20,8 @@
 const TIMER_TOLERANCE_MS: Millis = 1.0;
 
 impl PendingRequest {
-    /// Returns whether units granted under a ceiling were not spent within their validity, so that the owner
-    /// no longer counts the units as outstanding. Spending them now could exceed the ceiling.
+    /// Returns whether a grant under a ceiling has expired before the first attempt spent its units. The
+    /// owner may no longer count the units as outstanding. Spending them now could exceed the ceiling.
     pub(crate) fn grant_expired(&self, context: &Context) -> bool {
         let age_ms = context.now - self.submitted_at;
         self.attempts == 0 && context.plan(&self.request).has_ceiling() && age_ms > GRANT_VALIDITY_MS
@@ -58,8 +57,8 @@
         Action::SetTimer { after_ms, token: TimerToken::SilenceCheck(id) }
     }
 
-    /// Handles the start of a shutdown: moves all deadlines that lie after the end of the process to before
-    /// that end.
+    /// Handles the start of a shutdown, in which the last response must be sent by `deadline`: brings forward
+    /// the deadline of each request whose final response would otherwise be sent too late.
     pub(crate) fn on_shutdown(&mut self, deadline: Millis, out: &mut Vec<Action>) {
         self.shutdown_deadline = deadline;
         let now = self.context.now;
@@ -79,7 +78,7 @@
         let Some(pending) = self.requests.get(id).filter(|pending| !pending.is_streaming) else { return };
         match token {
             TimerToken::Deadline(_) if self.context.now >= pending.deadline => self.reject_or_fail(id, out),
-            // A late response would have no value: finishing the request now frees capacity of the server.
+            // A late response would have no value. Finishing the request now frees capacity of the server.
             TimerToken::LatencyObjective(_) if self.context.class(&pending.request).late_value <= 0.0 => {
                 self.reject_or_fail(id, out);
             }
@@ -93,9 +92,10 @@
     /// against servers that never respond, for instance because they hang or because their network is
     /// partitioned.
     ///
-    /// The attempt is cancelled and made at another server where that is allowed. A server that has only this
-    /// one, costly, request of this limiter looks the same as a server that hangs, and its work is then
-    /// wasted; the retry budget bounds the waste.
+    /// The attempt is cancelled if the request may be attempted at another server. Otherwise, the attempt
+    /// stays in flight, and only the timeout of its server is recorded. A server whose only request from this
+    /// limiter is a costly one cannot be distinguished from a server that hangs. Cancelling this attempt
+    /// wastes the work of the server; the retry budget bounds the waste.
     fn check_silence(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(key) = self.attempt_to_check(id) else { return };
         let Some(remaining_ms) = self.silence_timeout_in_ms(key) else { return };
@@ -111,8 +111,8 @@
         }
     }
 
-    /// Returns the attempt in flight of a request if a silence check of that attempt is due. Returns none if
-    /// the attempt was cancelled, or if the timer belongs to an earlier attempt of the request.
+    /// Returns the attempt in flight of a request if a silence check of that attempt is due. Returns `None`
+    /// if the attempt was cancelled, or if the timer belongs to an earlier attempt of the request.
     fn attempt_to_check(&self, id: RequestId) -> Option<AttemptKey> {
         let pending = self.requests.get(id).filter(|pending| pending.is_in_flight)?;
         let key = pending.last_attempt();
@@ -125,7 +125,7 @@
     }
 
     /// Returns after how many milliseconds an attempt times out if its server stays silent; zero or negative
-    /// if the attempt has timed out. Returns none if the server has responded to any attempt since this one
+    /// if the attempt has timed out. Returns `None` if the server has responded to any attempt since this one
     /// was sent, or is no longer announced.
     fn silence_timeout_in_ms(&self, key: AttemptKey) -> Option<Millis> {
         let now = self.context.now;
@@ -135,8 +135,8 @@
         Some(usual_ms * SILENCE_LATENCY_FACTOR - elapsed_ms)
     }
 
-    /// Releases the slots of an attempt that has timed out: attempts at a silent server must not keep slots
-    /// from requests to the other servers.
+    /// Releases the slots of an attempt that has timed out: attempts at a silent server must not occupy the
+    /// slots that requests to other servers need.
     fn release_slots(&mut self, key: AttemptKey) {
         if let Some(attempt) = self.requests.attempts.get_mut(&key) {
             let slots = std::mem::take(&mut attempt.slots);
