--- a/limiter-core/src/gossip/receive.rs
+++ b/limiter-core/src/gossip/receive.rs
@@ -16,7 +16,7 @@
         if message.is_from_serving_limiter() {
             self.has_serving_peer = true;
         }
-        self.member_quotas.gossip_received(from);
+        self.member_quotas.record_gossip(from);
         if let Some(latency) = message.latency {
             self.admission.record_peer_latency(self.context.now, latency);
         }
--- a/limiter-core/src/quota/keys.rs
+++ b/limiter-core/src/quota/keys.rs
@@ -3,8 +3,8 @@
 use crate::context::Context;
 use crate::event::{CustomerId, Request, RequestId};
 
-/// Identifies a quota. A customer that changes its plan, and a customer that reuses the id of another one on
-/// another plan, has a separate quota.
+/// Identifies a quota. The plan is part of the key: a customer that changes its plan has a new quota, and two
+/// customers that use the same id on different plans have separate quotas.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct QuotaKey {
     /// The customer that has the quota.
--- a/limiter-core/src/quota/member/even_share.rs
+++ b/limiter-core/src/quota/member/even_share.rs
@@ -7,11 +7,11 @@
 use crate::settings::Plan;
 
 /// Fraction of the quota's burst that must be left in the owner's bucket, according to the member's estimate,
-/// before the member spends without asking. The estimate does not include what other members spend at the
-/// same time; the reserve is for their units.
+/// for the member to spend units without asking. The estimate does not include the units that other members
+/// spend at the same time; the remaining fraction is a reserve for them.
 ///
-/// Owners other than the first grant from a bucket of half the burst. As a rule, a reply from one of them
-/// therefore ends the spending without asking, until the first owner replies again.
+/// Owners other than the first grant from a bucket of half the burst. A reply from one of them therefore
+/// usually stops the member from spending without asking, until the first owner replies again.
 const MIN_OWNER_TOKENS_FRACTION: f64 = 0.5;
 
 /// Rate and capacity of the token bucket for one member's even share.
@@ -19,23 +19,23 @@
 pub(super) struct EvenShare {
     /// Units per second.
     rate: f64,
-    /// Units. May be less than the units of one request when there are many members.
+    /// Capacity in units. May be less than the units of one request if there are many members.
     capacity: f64,
 }
 
 impl EvenShare {
-    /// Divides a quota of `rate` units per second and `capacity` units by the number of its members.
+    /// Returns one member's share of a quota of `rate` units per second and `capacity` units.
     pub fn new(rate: f64, capacity: f64, member_count: u32) -> Self {
         let fraction = f64::from(member_count).recip();
         EvenShare { rate: rate * fraction, capacity: capacity * fraction }
     }
 
-    /// Divides the rate quota of a plan by the number of its members.
+    /// Returns one member's share of the rate quota of a plan.
     pub fn of_rate_quota(plan: &Plan, member_count: u32) -> Self {
         EvenShare::new(plan.rate, plan.burst, member_count)
     }
 
-    /// Returns whether the share is large enough to ever hold a request of so many units.
+    /// Returns whether the capacity of the share is at least `units`.
     pub fn can_hold(&self, units: f64) -> bool {
         self.capacity >= units
     }
@@ -43,7 +43,7 @@
 
 impl MemberQuota {
     /// Refills the bucket of the even share. A share that is smaller than a request still accumulates up to
-    /// the units of the request: a member that decides without an owner then admits a request from time to
+    /// the units of the request, so that a member that decides without an owner admits a request from time to
     /// time.
     pub(super) fn refill_even_share(&mut self, now: Millis, share: EvenShare, request_units: f64) {
         self.even_share.refill(now, share.rate, share.capacity.max(request_units));
@@ -51,8 +51,9 @@
 }
 
 impl MemberQuotas {
-    /// Refills the even share and returns whether it covers a request while enough tokens are left at the
-    /// owner. A share that is smaller than the request is never spent: the owner decides.
+    /// Refills the even share and returns whether a request may spend from it: the share covers the request,
+    /// and enough tokens are left in the owner's bucket by the member's estimate. A share that is smaller
+    /// than the request is never spent: the owner decides.
     pub(super) fn even_share_covers(&mut self, context: &Context, request: &Request) -> bool {
         let plan = context.plan(request);
         let units = request.cost_units;
--- a/limiter-core/src/quota/member/fallback.rs
+++ b/limiter-core/src/quota/member/fallback.rs
@@ -8,9 +8,9 @@
 use crate::limiter::Limiter;
 use crate::quota::keys::QuotaKey;
 
-/// Time constant in milliseconds of the fraction of grants. It must be longer than the silences of owners,
-/// because nothing is measured during a silence.
-const GRANT_FRACTION_SPAN_MS: Millis = 60_000.0;
+/// Time constant in milliseconds over which the fraction of grants is smoothed. The time constant must exceed
+/// the periods in which owners are silent, because no grants are measured in these periods.
+const GRANT_FRACTION_TIME_CONSTANT_MS: Millis = 60_000.0;
 
 /// A member's decision without an owner.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -23,9 +23,9 @@
     UnknownQuota,
 }
 
-/// How often owners grant the requests of unknown customers: those about whom the member has had no reply, or
-/// none that is still valid. The fraction predicts the decision on a customer about whom no owner has ever
-/// replied, while no owner can be asked.
+/// The fraction of requests of unknown customers that owners grant. A customer is unknown if the member has
+/// received no reply about the customer, or none that is still valid. While no owner can be asked, the
+/// fraction predicts the decisions on customers about whom no owner has ever replied.
 #[derive(Debug)]
 pub(super) struct UnknownCustomerGrants {
     granted_fraction: DecayingMean,
@@ -34,7 +34,7 @@
 impl UnknownCustomerGrants {
     /// Creates the state before any reply.
     pub fn new(now: Millis) -> Self {
-        UnknownCustomerGrants { granted_fraction: DecayingMean::new(now, GRANT_FRACTION_SPAN_MS) }
+        UnknownCustomerGrants { granted_fraction: DecayingMean::new(now, GRANT_FRACTION_TIME_CONSTANT_MS) }
     }
 
     /// Records an owner's decision on a customer without a valid reply.
@@ -42,15 +42,15 @@
         self.granted_fraction.add(now, if granted { 1.0 } else { 0.0 });
     }
 
-    /// Returns the fraction of grants, or `None` without recent decisions.
+    /// Returns the fraction of grants, or `None` if there are no recent decisions.
     fn fraction(&self, now: Millis) -> Option<f64> {
         self.granted_fraction.value(now)
     }
 }
 
 /// Returns the even share of the quota that a request counts against. A plan without a rate quota is limited
-/// by its attempts in flight: each attempt in flight counts as the units of this request, which become free
-/// again within one latency objective.
+/// by its attempts in flight: each attempt is assumed to occupy the units of this request for one latency
+/// objective.
 fn even_share_of(context: &Context, request: &Request) -> EvenShare {
     let plan = context.plan(request);
     if plan.rate > 0.0 {
@@ -62,14 +62,16 @@
 }
 
 impl MemberQuota {
-    /// Returns the probability at which a request is admitted whose units the even share does not hold.
+    /// Returns the probability of admitting a request whose units exceed the level of the even share.
     ///
-    /// A share that can hold the request decides alone, so the probability is 0. A smaller share admits with
-    /// at least the fraction of the request that is in the bucket: with demand far above the quota, all
-    /// members together then spend the quota. If an owner has ever replied about the customer, however long
-    /// ago, the probability is at least the one that brings the demand in the last reply down to the quota.
-    /// Otherwise the probability is at least the fraction of grants for unknown customers, see
-    /// [`UnknownCustomerGrants`].
+    /// The probability is 0 if the share can hold the request: the level alone decides. Otherwise the
+    /// probability is the larger one of two values:
+    ///
+    /// - The fraction of the request's units that the bucket holds. With this probability, the members
+    ///   together spend the quota if the demand is far above the quota.
+    /// - The expected fraction of grants. If an owner has ever replied about the customer, however long ago,
+    ///   this is the fraction that reduces the demand in the last reply to the quota. Otherwise it is the
+    ///   fraction of grants for unknown customers, see [`UnknownCustomerGrants`].
     fn admission_probability(
         &self,
         now: Millis,
@@ -90,10 +92,11 @@
 }
 
 impl MemberQuotas {
-    /// Decides on a request by the member's even share of the rate, or of the attempts in flight. Denies
-    /// requests under a ceiling, which only owners hold.
+    /// Decides on a request by the member's even share of the rate quota or, for a plan without a rate quota,
+    /// of the attempts in flight. Denies all requests under a ceiling, because only owners may grant its
+    /// units.
     ///
-    /// Draws a random number if the even share does not hold the units of the request.
+    /// Draws a random number if the even share does not cover the request.
     fn decide_without_owner(&mut self, context: &mut Context, request: &Request) -> LocalDecision {
         let Some(quota) = self.quotas.get_mut(&QuotaKey::of(request)) else {
             return LocalDecision::UnknownQuota;
@@ -104,8 +107,8 @@
         quota.refill_even_share(now, share, units);
         let probability = quota.admission_probability(now, share, units, &self.unknown_customer_grants);
         let is_admitted = quota.even_share.level >= units || context.rng.f64() < probability;
-        // A request that was denied at random spends from the share too: the probability included these
-        // units.
+        // A request that was denied at random also spends from the share, because the probability included
+        // these units.
         if is_admitted || probability > 0.0 {
             quota.even_share.level = (quota.even_share.level - units).max(0.0);
         }
--- a/limiter-core/src/quota/member/grant_replies.rs
+++ b/limiter-core/src/quota/member/grant_replies.rs
@@ -5,12 +5,13 @@
 use crate::limiter::Limiter;
 use crate::request::AwaitedReply;
 
-/// Quota requests to one owner, for the same request, before the next owner is asked.
+/// Number of quota requests that are sent to one owner for the same client request before the next owner is
+/// asked.
 const REQUESTS_PER_OWNER: u32 = 2;
 
 impl Limiter {
     /// Handles an owner's reply, including a late reply from an owner that has been skipped since. If this
-    /// limiter is the owner, `from` is its local position, and no quota request has been sent.
+    /// limiter is the owner, `from` is its own position, and no quota request has been sent.
     pub(crate) fn on_grant_reply(&mut self, from: u32, reply: &GrantReply, out: &mut Vec<Action>) {
         let now = self.context.now;
         self.member_quotas.record_reply(now, reply);
@@ -35,13 +36,14 @@
         }
     }
 
-    /// Handles the timer for a late reply. Asks the same owner again and then the next one: messages are
-    /// lost, and owners may be down, stalled or partitioned from this limiter.
+    /// Handles the timer that checks for a late reply. Asks the same owner again, and afterwards the next
+    /// owner: messages may be lost, and owners may be down, stalled or partitioned from this limiter.
     pub(crate) fn check_grant_reply(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let now = self.context.now;
         let Some(pending) = self.requests.get(id) else { return };
         let Some(AwaitedReply { owner, requested_at }) = pending.awaited_reply else { return };
-        // A quota request that is still queued here is no fault of the owner.
+        // Until the reply deadline, a quota request that is still in the local gossip queue does not count as
+        // a missed reply.
         let is_unsent =
             self.is_before_reply_deadline(pending) && self.gossip.has_unsent_quota_request(owner, id);
         let waiting_since = if is_unsent { now } else { requested_at };
--- a/limiter-core/src/quota/member/grant_requests.rs
+++ b/limiter-core/src/quota/member/grant_requests.rs
@@ -7,9 +7,9 @@
 use crate::quota::placement::{self, MemberRange};
 use crate::request::{AwaitedReply, PendingRequest};
 
-/// Event intervals that a reply may take beyond the usual wait: events are delivered up to one interval late
-/// at the owner, and again at the member.
-const REPLY_INTERVALS: f64 = 2.0;
+/// Number of event intervals added to the time after which a reply is late: the owner receives the quota
+/// request up to one interval late, and the member receives the reply up to one interval late.
+const DELIVERY_DELAY_INTERVALS: f64 = 2.0;
 /// Fraction of the latency objective, from the arrival of a request, within which owners are asked.
 /// Afterwards the even share decides, so that the rest of the objective is left to execute the request.
 const REPLY_DEADLINE_FRACTION: f64 = 0.4;
@@ -21,8 +21,8 @@
         placement::owner_of(request.customer, MemberRange::of(request), limiters, rank)
     }
 
-    /// Requests the units of a request from the next owner in rank that is not silent; decides without an
-    /// owner if there is none or no time is left to ask.
+    /// Requests the units of a request from the next owner in rank that is not silent. Decides without an
+    /// owner if no owner remains or the time for asking owners has passed.
     pub(super) fn request_grant(&mut self, id: RequestId, out: &mut Vec<Action>) {
         while let Some(pending) = self.requests.get(id) {
             let owner = self.owner_of(&pending.request, pending.owner_rank);
@@ -54,14 +54,14 @@
         self.context.settings.can_gossip && !is_silent
     }
 
-    /// Sends a quota request to a peer and starts the timer after which the reply is late.
+    /// Sends a quota request to a peer and starts the timer that checks for a late reply.
     fn send_quota_request(&mut self, owner: u32, quota_request: QuotaRequest, out: &mut Vec<Action>) {
         let now = self.context.now;
         let id = quota_request.id;
         self.member_quotas.owner_health.record_request(now);
         self.requests.update(id, |pending| pending.await_reply(AwaitedReply { owner, requested_at: now }));
-        let transfer_ms = REPLY_INTERVALS * self.context.settings.event_interval_ms;
-        let after_ms = self.member_quotas.reply_wait.late_after_ms() + transfer_ms;
+        let delivery_delay_ms = DELIVERY_DELAY_INTERVALS * self.context.settings.event_interval_ms;
+        let after_ms = self.member_quotas.reply_wait.late_after_ms() + delivery_delay_ms;
         out.push(Action::SetTimer { after_ms, token: TimerToken::GrantReply(id) });
         self.send_gossip(owner, GossipLine::QuotaRequest(quota_request), out);
     }
--- a/limiter-core/src/quota/member/local_share.rs
+++ b/limiter-core/src/quota/member/local_share.rs
@@ -1,4 +1,4 @@
-//! Spending from the member's even share, without waiting for an owner.
+//! Admission from the member's even share, without waiting for an owner.
 
 use crate::event::{Action, Request, RequestId};
 use crate::gossip::{GossipLine, QuotaRequest};
@@ -6,8 +6,8 @@
 use crate::quota::keys::GrantKey;
 
 impl Limiter {
-    /// Admits a request from the even share if the share and the first owner's bucket have enough units, and
-    /// notifies the first owner: waiting for its reply would only add latency. Requests a grant otherwise.
+    /// Admits a request from the even share and notifies the first owner, if the share and the owner's bucket
+    /// have enough units: waiting for the owner's reply would only add latency. Requests a grant otherwise.
     pub(crate) fn spend_local_share(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(pending) = self.requests.get(id) else { return };
         let request = pending.request.clone();
@@ -15,9 +15,9 @@
             return self.request_grant(id, out);
         };
         let quota_request = self.member_quotas.quota_request(&request);
-        if !self.may_spend_local_share(&request, &quota_request) {
-            // A denial for the local fraction of the ceiling must not be remembered: this limiter is asked
-            // again, as the next owner, if the first owner is silent.
+        if !self.authorize_local_spending(&request, &quota_request) {
+            // A denial by the local fraction of the ceiling must not be retained: if the preceding owners are
+            // silent, this limiter is asked as an owner and has to decide anew.
             self.owned_quotas.forget_decision(GrantKey::local(&self.context, id));
             return self.request_grant(id, out);
         }
@@ -40,9 +40,9 @@
         may_spend.then_some(owner)
     }
 
-    /// Returns whether the even share covers a request and, under a ceiling, this limiter as an owner grants
-    /// the units from its fraction of the ceiling. The units are then spent from that fraction.
-    fn may_spend_local_share(&mut self, request: &Request, quota_request: &QuotaRequest) -> bool {
+    /// Returns whether a request may spend from the even share. Under a ceiling, this limiter must also be an
+    /// owner and grant the units from its fraction of the ceiling; a grant spends the units of that fraction.
+    fn authorize_local_spending(&mut self, request: &Request, quota_request: &QuotaRequest) -> bool {
         if !self.member_quotas.even_share_covers(&self.context, request) {
             return false;
         }
--- a/limiter-core/src/quota/member/mod.rs
+++ b/limiter-core/src/quota/member/mod.rs
@@ -23,11 +23,12 @@
 use owner_health::OwnerHealth;
 use reply_wait::ReplyWait;
 
-/// Milliseconds for which the demand in an owner's reply is valid. Afterwards the member sheds no requests of
-/// the customer until the next reply, which counts as a reply about an unknown customer.
+/// Time in milliseconds for which the demand in an owner's reply is valid. Afterwards the member sheds no
+/// requests of the customer until the next reply. That reply is recorded as one about an unknown customer,
+/// see [`UnknownCustomerGrants`].
 const REPLY_VALIDITY_MS: Millis = 4000.0;
 
-/// What this limiter knows, as a member, about quotas and their owners.
+/// The quotas of which this limiter is a member, and the state of their owners as seen by this limiter.
 #[derive(Debug)]
 pub(crate) struct MemberQuotas {
     quotas: BTreeMap<QuotaKey, MemberQuota>,
@@ -53,7 +54,7 @@
     }
 
     /// Records that gossip from a peer has arrived: the peer is running and reachable.
-    pub fn gossip_received(&mut self, from: u32) {
+    pub fn record_gossip(&mut self, from: u32) {
         self.owner_health.record_gossip(from);
     }
 
@@ -64,7 +65,8 @@
             .retain(|key, quota| context.now - quota.last_used_at < retention_ms(context, *key, count));
     }
 
-    /// Returns the quota request for the units of a request, with the demand that no reply has covered yet.
+    /// Returns the quota request for the units of a request. Includes the units that the member has shed
+    /// since the last reply.
     fn quota_request(&self, request: &Request) -> QuotaRequest {
         let quota = self.quotas.get(&QuotaKey::of(request));
         QuotaRequest::new(request, quota.map_or(0.0, |quota| quota.unreported_units))
@@ -72,7 +74,7 @@
 
     /// Records what an owner's reply says about the customer.
     fn record_reply(&mut self, now: Millis, reply: &GrantReply) {
-        let Some(quota) = self.quotas.get_mut(&reply.quota()) else { return };
+        let Some(quota) = self.quotas.get_mut(&reply.quota_key()) else { return };
         if !quota.has_valid_reply(now) {
             self.unknown_customer_grants.record(now, reply.granted);
         }
@@ -94,10 +96,10 @@
     /// Time of the last reply from an owner; negative infinity before the first.
     last_reply_at: Millis,
     /// Estimate of the units left in the owner's bucket: the level in the last reply of any owner, minus the
-    /// units that this member has spent from its even share since. The bucket counts as full until the first
-    /// reply.
+    /// units that this member has spent from its even share since. The bucket is assumed to be full until the
+    /// first reply.
     estimated_owner_tokens: f64,
-    /// Units shed since the last reply. The owner has not counted these units as demand yet.
+    /// Units shed since the last reply. Quota requests report these units as demand until the next reply.
     unreported_units: f64,
     /// Time of the customer's last request at this member.
     last_used_at: Millis,
--- a/limiter-core/src/quota/member/owner_health.rs
+++ b/limiter-core/src/quota/member/owner_health.rs
@@ -4,34 +4,35 @@
 
 use crate::event::Millis;
 
-/// Quota requests without a reply, and with no gossip received from the owner in between, after which an
-/// owner counts as silent.
+/// Number of missed replies after which an owner is considered silent. Any gossip from the owner resets the
+/// number.
 const SILENT_OWNER_MISSES: u32 = 3;
-/// Milliseconds since the last missed reply for which a silent owner is not asked. Afterwards the owner is
-/// asked again; one more missed reply makes the owner silent for the same time again.
+/// Time in milliseconds, from the last missed reply, for which a silent owner is not asked. Afterwards the
+/// owner is asked again; one more missed reply makes the owner silent for the same time again.
 const SILENT_OWNER_MS: Millis = 1000.0;
-/// Quota requests without a reply, at any owners and with no gossip received since, after which all owners
-/// count as silent: this limiter is probably partitioned from its peers.
+/// Number of missed replies, of all owners together, after which all owners are considered silent: this
+/// limiter is probably partitioned from its peers. Any gossip from a peer resets the number.
 const ALL_SILENT_MISSES: u32 = 12;
-/// Interval in milliseconds of the quota requests that are still sent while all owners count as silent. They
-/// find out when the peers can be reached again.
-const ALL_SILENT_REQUEST_MS: Millis = 250.0;
+/// Shortest time in milliseconds between two quota requests while all owners are considered silent. These
+/// requests test whether peers can be reached again.
+const ALL_SILENT_REQUEST_INTERVAL_MS: Millis = 250.0;
 
-/// Quota requests that one owner did not reply to.
+/// Replies of one owner that did not arrive in time since the owner's last gossip message.
 #[derive(Debug, Clone, Copy)]
 struct OwnerMisses {
-    /// Consecutive misses.
+    /// Number of missed replies.
     count: u32,
-    /// Time of the last miss.
+    /// Time of the last missed reply.
     last_at: Millis,
 }
 
-/// Which owners reply, as far as this member knows.
+/// Tracks which owners reply to this member.
 #[derive(Debug)]
 pub(super) struct OwnerHealth {
-    /// Misses by the position of the owner; owners without a miss since their last gossip are absent.
+    /// Missed replies by the position of the owner. Contains no owner without a missed reply since its last
+    /// gossip message.
     misses: BTreeMap<u32, OwnerMisses>,
-    /// Quota requests missed at any owner since gossip was last received from any peer.
+    /// Number of missed replies of all owners since the last gossip message from any peer.
     misses_since_gossip: u32,
     /// Time of the last quota request to any owner; negative infinity before the first.
     last_request_at: Millis,
@@ -61,15 +62,16 @@
         self.misses_since_gossip = 0;
     }
 
-    /// Returns whether an owner must not be asked now.
+    /// Returns whether an owner is considered silent and must not be asked now.
     pub fn is_silent(&self, owner: u32, now: Millis) -> bool {
         let are_all_silent = self.misses_since_gossip >= ALL_SILENT_MISSES;
-        let asked_recently = now - self.last_request_at < ALL_SILENT_REQUEST_MS;
-        (are_all_silent && asked_recently) || self.misses_replies(owner, now)
+        let asked_recently = now - self.last_request_at < ALL_SILENT_REQUEST_INTERVAL_MS;
+        (are_all_silent && asked_recently) || self.has_missed_replies(owner, now)
     }
 
-    /// Returns whether this owner has recently missed several quota requests in a row.
-    fn misses_replies(&self, owner: u32, now: Millis) -> bool {
+    /// Returns whether at least [`SILENT_OWNER_MISSES`] replies of this owner were missed, the last one less
+    /// than [`SILENT_OWNER_MS`] ago.
+    fn has_missed_replies(&self, owner: u32, now: Millis) -> bool {
         let Some(misses) = self.misses.get(&owner) else { return false };
         misses.count >= SILENT_OWNER_MISSES && now - misses.last_at < SILENT_OWNER_MS
     }
--- a/limiter-core/src/quota/member/shedding.rs
+++ b/limiter-core/src/quota/member/shedding.rs
@@ -5,10 +5,11 @@
 use crate::event::Request;
 use crate::quota::keys::QuotaKey;
 
-/// Multiple of the quota that all members together let pass to the owner. The factor is above one because
-/// shedding is random and the demand ratio is an estimate; the owner's bucket decides exactly on what passes.
+/// Multiple of the quota to which the members reduce the demand that reaches the owner. The factor is above
+/// one because shedding is random and the demand ratio is an estimate; the owner's bucket decides exactly on
+/// the remaining requests.
 const SHEDDING_DEMAND_FACTOR: f64 = 1.5;
-/// Lower bound of a demand ratio that is divided by.
+/// Lower bound of the demand ratio, which prevents a division by zero.
 const MIN_DEMAND_RATIO: f64 = 1e-9;
 
 impl MemberQuotas {
@@ -16,7 +17,7 @@
     /// demand to [`SHEDDING_DEMAND_FACTOR`] times the quota: a flood of requests must not become a flood of
     /// quota requests at the owner. The units shed are reported with the next quota request.
     ///
-    /// Draws one random number per call, whatever the decision, and records the use of the quota.
+    /// Draws one random number per call, regardless of the decision, and records the use of the quota.
     pub fn shed_probabilistically(&mut self, context: &mut Context, request: &Request) -> bool {
         let draw = context.rng.f64();
         let now = context.now;
@@ -27,7 +28,7 @@
             .or_insert_with(|| MemberQuota::new(now, plan, request.member_count));
         quota.last_used_at = now;
         if !quota.has_valid_reply(now) {
-            // Units shed so long ago are no part of the present demand.
+            // Units that were shed so long ago are not part of the current demand.
             quota.unreported_units = 0.0;
             return false;
         }
--- a/limiter-core/src/quota/messages.rs
+++ b/limiter-core/src/quota/messages.rs
@@ -22,7 +22,7 @@
     }
 
     /// Returns the key of the requested quota.
-    pub(crate) fn quota(&self) -> QuotaKey {
+    pub(crate) fn quota_key(&self) -> QuotaKey {
         QuotaKey { customer: self.customer, plan: usize::from(self.plan) }
     }
 
@@ -34,7 +34,7 @@
 
 impl GrantReply {
     /// Returns the key of the quota that the owner decided on.
-    pub(crate) fn quota(&self) -> QuotaKey {
+    pub(crate) fn quota_key(&self) -> QuotaKey {
         QuotaKey { customer: self.customer, plan: usize::from(self.plan) }
     }
 }
--- a/limiter-core/src/quota/owner/bucket.rs
+++ b/limiter-core/src/quota/owner/bucket.rs
@@ -9,17 +9,17 @@
 use crate::settings::Plan;
 use crate::token_bucket::TokenBucket;
 
-/// Fraction of the rate quota that owners other than the first grant. The first owner may be unreachable from
-/// some members only, and then two owners grant from the same quota.
+/// Fraction of the rate quota that each owner other than the first grants from. If the first owner is
+/// unreachable from some members only, two owners grant from the same quota.
 const BACKUP_QUOTA_FRACTION: f64 = 0.5;
 /// Shortest time constant in milliseconds over which demand is smoothed.
-const MIN_DEMAND_SPAN_MS: Millis = 1000.0;
+const MIN_DEMAND_TIME_CONSTANT_MS: Millis = 1000.0;
 /// Longest time constant in milliseconds over which demand is smoothed.
-const MAX_DEMAND_SPAN_MS: Millis = 10_000.0;
+const MAX_DEMAND_TIME_CONSTANT_MS: Millis = 10_000.0;
 /// Lower bound in units per second of the admitted rate that demand is compared with while the quota of
 /// attempts in flight is full.
 const MIN_ADMITTED_RATE: f64 = 1e-3;
-/// Lower bound in units per second of a rate that is divided by.
+/// Lower bound in units per second of the plan's rate, which prevents a division by zero.
 const MIN_RATE: f64 = 1e-9;
 
 /// The fractions of a quota that one owner may grant.
@@ -44,17 +44,17 @@
 pub(super) struct OwnerQuota {
     /// Fraction of the ceiling that this owner holds.
     pub ceiling_fraction: f64,
-    /// Token bucket of the rate quota, in units. Overdrawn by units that members spent without asking, and by
-    /// requests that cost more than their estimate.
+    /// Token bucket of the rate quota, in units. The bucket may be overdrawn by units that members spent
+    /// without asking, and by requests that cost more than their estimate.
     pub tokens: TokenBucket,
     /// Token bucket of this owner's fraction of the ceiling, in units.
     pub ceiling: TokenBucket,
     /// Units granted under the ceiling that a member may still spend.
     pub outstanding_units: f64,
-    /// Requests that were granted, and whose grants are neither settled nor expired. Units that a member
-    /// reported as spent are not counted.
+    /// Number of granted requests whose grants are neither settled nor expired. Requests that a member
+    /// admitted from its even share are not counted.
     pub in_flight: u32,
-    /// Units requested by all members, smoothed.
+    /// Units that all members have requested, spent without asking or shed, smoothed.
     demand: DecayingSum,
     /// Units granted, smoothed over the same time.
     pub admitted: DecayingSum,
@@ -63,30 +63,31 @@
 }
 
 impl OwnerQuota {
-    /// Creates a quota with a full bucket. The ceiling starts as if it had been spent down to the slack, and
-    /// refills only once everything that an earlier incarnation of this limiter may have granted has expired.
+    /// Creates a quota whose rate bucket is full. The ceiling bucket starts overdrawn by the whole slack, and
+    /// refills only once all grants of an earlier incarnation of this limiter must have expired.
     ///
     /// Demand is smoothed over the time in which a whole burst refills, within bounds.
     pub fn new(context: &Context, plan: &Plan, fractions: OwnerFractions) -> Self {
         let now = context.now;
-        let refills_ceiling_from = context.started_at + GRANT_VALIDITY_MS;
+        let ceiling_refill_start = context.started_at + GRANT_VALIDITY_MS;
         let burst_ms = 1000.0 * plan.burst / plan.rate.max(MIN_RATE);
-        let no_units = DecayingSum::new(now, burst_ms.clamp(MIN_DEMAND_SPAN_MS, MAX_DEMAND_SPAN_MS));
+        let empty_sum =
+            DecayingSum::new(now, burst_ms.clamp(MIN_DEMAND_TIME_CONSTANT_MS, MAX_DEMAND_TIME_CONSTANT_MS));
         OwnerQuota {
             ceiling_fraction: fractions.ceiling,
             tokens: TokenBucket::new(plan.burst * fractions.rate_quota, now),
-            ceiling: TokenBucket::new(-plan.ceiling_slack * fractions.ceiling, refills_ceiling_from),
+            ceiling: TokenBucket::new(-plan.ceiling_slack * fractions.ceiling, ceiling_refill_start),
             outstanding_units: 0.0,
             in_flight: 0,
-            demand: no_units,
-            admitted: no_units,
+            demand: empty_sum,
+            admitted: empty_sum,
             last_used_at: now,
         }
     }
 
     /// Refills both buckets; the bucket of the rate quota by `rate_quota_fraction` of the plan's rate and
-    /// burst. Outstanding units lower the capacity of the ceiling's bucket: a member may spend the units
-    /// after the refill.
+    /// burst. Outstanding units lower the capacity of the ceiling's bucket: a member may still
+    /// spend the units after the refill.
     pub fn refill(&mut self, now: Millis, plan: &Plan, rate_quota_fraction: f64) {
         self.tokens.refill(now, plan.rate * rate_quota_fraction, plan.burst * rate_quota_fraction);
         let ceiling_capacity = plan.ceiling_burst * self.ceiling_fraction - self.outstanding_units;
@@ -100,7 +101,8 @@
     }
 
     /// Returns the customer's demand as a multiple of its quota. While the quota of attempts in flight is
-    /// full, the quota is the rate that was admitted, as the rate that fits is not known in advance.
+    /// full, the quota is the rate that was admitted, because the rate that the attempts in flight allow is
+    /// not known in advance.
     /// Otherwise the quota is the rate of the plan; returns 0 for a plan without a rate.
     pub fn demand_ratio(&self, now: Millis, plan: &Plan) -> f64 {
         let is_full = plan.max_in_flight > 0 && self.in_flight >= plan.max_in_flight;
--- a/limiter-core/src/quota/owner/expiry.rs
+++ b/limiter-core/src/quota/owner/expiry.rs
@@ -1,4 +1,4 @@
-//! Expiry of what an owner remembers.
+//! Expiry of an owner's grants, decisions and quotas.
 
 use super::bucket::OwnerQuota;
 use super::grants::Grant;
@@ -7,13 +7,13 @@
 use crate::event::Millis;
 use crate::quota::retention::retention_ms;
 
-/// Shortest time in milliseconds for which an owner remembers a decision; the longest latency objective
-/// applies where that is longer. After this time, a duplicate of the quota request is decided on anew, and a
+/// Shortest time in milliseconds for which an owner retains a decision; the longest latency objective applies
+/// if that is longer. After this time, a duplicate of the quota request is decided on anew, and a
 /// settlement is ignored.
 const MIN_DECISION_RETENTION_MS: Millis = 8000.0;
 
 impl OwnedQuotas {
-    /// Expires grants, drops old decisions, and drops the quotas that no member has requested units of for
+    /// Expires grants, drops old decisions, and drops the quotas for which no quota request has arrived for
     /// their retention time.
     pub fn expire(&mut self, context: &Context) {
         self.expire_decisions(context);
@@ -29,7 +29,7 @@
         let quotas = &mut self.quotas;
         self.decisions.retain(|_, decision| {
             let age_ms = context.now - decision.decided_at;
-            if let (Some(quota), Some(grant)) = (quotas.get_mut(&decision.quota), &mut decision.grant) {
+            if let (Some(quota), Some(grant)) = (quotas.get_mut(&decision.quota_key), &mut decision.grant) {
                 quota.expire_grant(grant, age_ms, max_objective_ms);
             }
             age_ms < decision_retention_ms
@@ -38,14 +38,14 @@
 }
 
 impl OwnerQuota {
-    /// Releases what a grant of this age occupies. A settlement may be lost, so a request counts as in flight
-    /// for the longest latency objective at most.
+    /// Releases the outstanding units and the request in flight of a grant that has reached the age for each.
+    /// A settlement may be lost, so a request counts as in flight for the longest latency objective at most.
     fn expire_grant(&mut self, grant: &mut Grant, age_ms: Millis, max_objective_ms: Millis) {
         if age_ms > GRANT_VALIDITY_MS {
-            self.end_outstanding(grant);
+            self.release_outstanding_units(grant);
         }
         if age_ms > max_objective_ms {
-            self.end_in_flight(grant);
+            self.release_in_flight(grant);
         }
     }
 }
--- a/limiter-core/src/quota/owner/grants.rs
+++ b/limiter-core/src/quota/owner/grants.rs
@@ -1,4 +1,4 @@
-//! Grants: what an owner decides on a quota request, and what the owner remembers of the decision.
+//! Grants: the owner's decision on a quota request, and the record of the decision.
 
 use super::bucket::OwnerQuota;
 use crate::event::Millis;
@@ -6,24 +6,24 @@
 use crate::quota::keys::QuotaKey;
 use crate::settings::Plan;
 
-/// Milliseconds for which units granted under a ceiling may be spent. A member counts them from the
-/// submission of the request and an owner from its later decision, so the owner counts the units as
-/// outstanding for at least as long as the member may spend them. The time covers the wait for a reply and
-/// the wait in the queue.
+/// Time in milliseconds for which units granted under a ceiling may be spent. A member measures the time from
+/// the submission of the request and an owner from its later decision, so the units are outstanding at the
+/// owner for at least as long as the member may spend them. The time covers the wait for a reply and the wait
+/// in the queue.
 pub(crate) const GRANT_VALIDITY_MS: Millis = 500.0;
 
-/// An owner's decision on a quota request, remembered for duplicates of the request and for the settlement.
+/// An owner's decision on a quota request, retained for duplicates of the request and for the settlement.
 #[derive(Debug)]
 pub(super) struct Decision {
     /// The requested quota.
-    pub quota: QuotaKey,
+    pub quota_key: QuotaKey,
     /// Time of the decision.
     pub decided_at: Millis,
     /// The grant, or `None` if the request was denied.
     pub grant: Option<Grant>,
 }
 
-/// Units that were granted to a request, and what the grant still occupies.
+/// The units granted to a request, and which limits of the quota the grant still occupies.
 #[derive(Debug)]
 pub(super) struct Grant {
     /// Units granted.
@@ -37,20 +37,21 @@
 }
 
 impl OwnerQuota {
-    /// Decides on a quota request and spends what is granted. Units that the member has already spent are
-    /// granted in any case.
+    /// Decides on a quota request and spends the granted units. Units that the member has already spent are
+    /// always granted.
     pub fn decide(&mut self, now: Millis, plan: &Plan, request: &QuotaRequest) -> Decision {
         let is_granted = request.already_spent || self.has_units_for(plan, request);
         let grant = is_granted.then(|| self.grant(now, plan, request));
-        Decision { quota: request.quota(), decided_at: now, grant }
+        Decision { quota_key: request.quota_key(), decided_at: now, grant }
     }
 
-    /// Spends the units of a request. Units that the member has already spent are taken from the rate quota
-    /// only: the member has spent its local fraction of the ceiling, and members never spend without asking
-    /// under a plan that limits attempts in flight.
+    /// Spends the units of a request. Units that the member has already spent are deducted from the rate
+    /// quota only: under a ceiling, the member has spent them from its own fraction of the ceiling, and
+    /// members never spend without asking under a plan that limits attempts in flight.
     fn grant(&mut self, now: Millis, plan: &Plan, request: &QuotaRequest) -> Grant {
         let units = f64::from(request.units);
-        // Overdrawn by one burst at most, so that the quota is available again after a bounded time.
+        // The bucket is overdrawn by one burst at most, so that the quota is available again after a bounded
+        // time.
         self.tokens.level = (self.tokens.level - units).max(-plan.burst);
         self.admitted.add(now, units);
         let is_in_flight = !request.already_spent;
@@ -75,8 +76,8 @@
         is_within_rate && is_within_in_flight && is_within_ceiling
     }
 
-    /// Records that the units of a grant can no longer be spent. Has no effect when repeated.
-    pub fn end_outstanding(&mut self, grant: &mut Grant) {
+    /// Releases the outstanding units of a grant, which can no longer be spent. Has no effect when repeated.
+    pub fn release_outstanding_units(&mut self, grant: &mut Grant) {
         if grant.is_outstanding {
             grant.is_outstanding = false;
             self.outstanding_units = (self.outstanding_units - grant.units).max(0.0);
@@ -84,7 +85,7 @@
     }
 
     /// Records that the request of a grant is no longer in flight. Has no effect when repeated.
-    pub fn end_in_flight(&mut self, grant: &mut Grant) {
+    pub fn release_in_flight(&mut self, grant: &mut Grant) {
         if grant.is_in_flight {
             grant.is_in_flight = false;
             self.in_flight = self.in_flight.saturating_sub(1);
--- a/limiter-core/src/quota/owner/mod.rs
+++ b/limiter-core/src/quota/owner/mod.rs
@@ -21,7 +21,7 @@
     decisions: BTreeMap<GrantKey, Decision>,
 }
 
-/// How much an owner remembers.
+/// Number of records that an owner holds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct OwnedQuotaCounts {
     /// Number of quotas.
@@ -31,24 +31,26 @@
 }
 
 impl OwnedQuotas {
-    /// Returns how much this owner remembers.
+    /// Returns the number of records that this owner holds.
     pub fn counts(&self) -> OwnedQuotaCounts {
         OwnedQuotaCounts { quotas: self.quotas.len(), decisions: self.decisions.len() }
     }
 
-    /// Forgets the decision on a request, so that the request is decided on anew if it is made again.
+    /// Forgets the decision on a request, so that a repeated request is decided on anew.
     pub fn forget_decision(&mut self, key: GrantKey) {
         self.decisions.remove(&key);
     }
 
-    /// Decides on a quota request and returns the reply. A duplicate of a request has the same decision
-    /// again, with the present demand and tokens. Returns `None` if this limiter does not own the quota.
+    /// Decides on a quota request and returns the reply. The reply to a duplicate contains the same
+    /// decision, with the current demand and tokens. Returns `None` if this limiter does not own the quota.
     pub fn decide(&mut self, context: &Context, key: GrantKey, request: &QuotaRequest) -> Option<GrantReply> {
-        let plan = context.settings.plans.get(request.quota().plan)?;
+        let plan = context.settings.plans.get(request.quota_key().plan)?;
         let rank = owner_rank(context, request)?;
         let fractions = OwnerFractions::of_rank(rank);
-        let quota =
-            self.quotas.entry(request.quota()).or_insert_with(|| OwnerQuota::new(context, plan, fractions));
+        let quota = self
+            .quotas
+            .entry(request.quota_key())
+            .or_insert_with(|| OwnerQuota::new(context, plan, fractions));
         quota.last_used_at = context.now;
         let decision = self.decisions.entry(key).or_insert_with(|| {
             quota.refill(context.now, plan, fractions.rate_quota);
@@ -70,21 +72,21 @@
     /// corrected by the difference between the actual and the granted units. Ignores unknown and settled
     /// grants.
     ///
-    /// A correction is bounded by the burst: a single wrong report must not deny the customer its quota for
-    /// long.
+    /// Units beyond the grant are deducted up to one burst only: a single wrong report must not deny the
+    /// customer its quota for long.
     pub fn settle(&mut self, context: &Context, key: GrantKey, settlement: Settlement) {
         let Some(decision) = self.decisions.get_mut(&key) else { return };
         let Some(grant) = decision.grant.as_mut().filter(|grant| !grant.is_settled) else { return };
-        let Some(quota) = self.quotas.get_mut(&decision.quota) else { return };
+        let Some(quota) = self.quotas.get_mut(&decision.quota_key) else { return };
         grant.is_settled = true;
-        quota.end_in_flight(grant);
-        let max_units = grant.units + context.settings.plans[decision.quota.plan].burst;
+        quota.release_in_flight(grant);
+        let max_units = grant.units + context.settings.plans[decision.quota_key.plan].burst;
         quota.tokens.level -= f64::from(settlement.used_units).min(max_units) - grant.units;
     }
 }
 
-/// Returns this limiter's rank among the owners of the requested quota, or `None` if this limiter is no
-/// owner.
+/// Returns this limiter's rank among the owners of the requested quota, or `None` if this limiter is not
+/// an owner.
 fn owner_rank(context: &Context, request: &QuotaRequest) -> Option<usize> {
     let settings = &context.settings;
     let is_local = |rank: &usize| {
--- a/limiter-core/src/quota/placement.rs
+++ b/limiter-core/src/quota/placement.rs
@@ -20,15 +20,15 @@
 }
 
 impl MemberRange {
-    /// Returns the members that receive the requests of this request's customer.
+    /// Returns the members of the quota that a request counts against.
     pub fn of(request: &Request) -> Self {
         MemberRange { first: request.first_member, count: request.member_count }
     }
 }
 
-/// Returns the position of the customer's owner with this rank (0 is asked first), or `None` beyond the last
-/// owner. Every limiter computes the same owners. The hash distributes customers evenly over their members,
-/// and the owners of one customer are spaced evenly over its member range.
+/// Returns the position of the customer's owner with this rank (0 is asked first), or `None` if the customer
+/// has no owner of this rank. Every limiter computes the same owners. The hash distributes customers evenly
+/// over their members, and the owners of one customer are spaced evenly over its member range.
 pub(super) fn owner_of(customer: CustomerId, members: MemberRange, limiters: u32, rank: u32) -> Option<u32> {
     let count = members.count.clamp(1, limiters);
     let owners = (CEILING_FRACTIONS.len() as u32).min(count);
