--- a/limiter-core/src/gossip/codec.rs
+++ b/limiter-core/src/gossip/codec.rs
@@ -1,4 +1,4 @@
-//! The bytes of gossip messages. The format is described at [`crate::gossip`].
+//! The binary encoding of gossip messages. The format is described in [`crate::gossip`].
 
 use super::messages::{GossipLine, GossipMessage, GrantReply, QuotaRequest, Settlement};
 use crate::endpoints::Fingerprint;
@@ -6,7 +6,7 @@
 
 /// Magic number: the first byte of each message. A message that begins with another byte is ignored.
 const MAGIC: u8 = 0xfd;
-/// Position of the checksum in a message.
+/// Byte range of the checksum in a message.
 const CHECKSUM_RANGE: std::ops::Range<usize> = 1..3;
 /// Length of the header in bytes: magic number (1), checksum (2), incarnation (4), latency (1).
 const HEADER_BYTES: usize = 8;
@@ -14,7 +14,7 @@
 const MAX_MESSAGE_BYTES: usize = 256;
 /// Value of the latency byte if there is no latency.
 const NO_LATENCY: u8 = 255;
-/// Value of the latency byte for a latency of the whole objective or more.
+/// Value of the latency byte for a latency that equals or exceeds the latency objective.
 const FULL_LATENCY: u8 = 254;
 /// Modulus of the checksum: the largest prime below 2^16.
 const CHECKSUM_MODULUS: u32 = 65_521;
@@ -23,7 +23,7 @@
 mod kind {
     pub const QUOTA_REQUEST: u8 = 1;
     pub const GRANTED: u8 = 2;
-    pub const NOT_GRANTED: u8 = 3;
+    pub const DENIED: u8 = 3;
     pub const SETTLEMENT: u8 = 4;
     pub const UNITS_SPENT: u8 = 5;
     pub const TOMBSTONE_POLL: u8 = 6;
@@ -49,9 +49,9 @@
                 body.extend_from_slice(&self.to_be_bytes());
             }
             fn read(rest: &mut &[u8]) -> Option<Self> {
-                let (front, back) = rest.split_first_chunk()?;
-                *rest = back;
-                Some(<$integer>::from_be_bytes(*front))
+                let (bytes, remaining) = rest.split_first_chunk()?;
+                *rest = remaining;
+                Some(<$integer>::from_be_bytes(*bytes))
             }
         }
     )*};
@@ -84,8 +84,8 @@
     }
 }
 
-/// Lays out a struct as the fields before the semicolon, one after the other. The field after the semicolon
-/// is not written, because the kind of the line determines its value.
+/// Implements the encoding of a struct as the sequence of the fields before the semicolon. The field after
+/// the semicolon is not written, because the kind of the line determines its value.
 macro_rules! layout {
     ($name:ident { $($field:ident: $type:ty),* $(; $flag:ident)? }) => {
         impl $name {
@@ -120,7 +120,7 @@
                 request.write(body);
             }
             GossipLine::GrantReply(reply) => {
-                body.push(if reply.granted { kind::GRANTED } else { kind::NOT_GRANTED });
+                body.push(if reply.granted { kind::GRANTED } else { kind::DENIED });
                 reply.write(body);
             }
             GossipLine::Settlement(settlement) => {
@@ -140,7 +140,7 @@
             kind::QUOTA_REQUEST => GossipLine::QuotaRequest(QuotaRequest::read(rest, false)?),
             kind::UNITS_SPENT => GossipLine::QuotaRequest(QuotaRequest::read(rest, true)?),
             kind::GRANTED => GossipLine::GrantReply(GrantReply::read(rest, true)?),
-            kind::NOT_GRANTED => GossipLine::GrantReply(GrantReply::read(rest, false)?),
+            kind::DENIED => GossipLine::GrantReply(GrantReply::read(rest, false)?),
             kind::SETTLEMENT => GossipLine::Settlement(Settlement::read(rest)?),
             kind::TOMBSTONE_POLL => GossipLine::TombstonePoll,
             kind::TOMBSTONE => GossipLine::Tombstone(Fingerprint::read(rest)?),
@@ -162,15 +162,15 @@
     }
 }
 
-/// Returns whether a message that consists of `present` lines stays within the largest length if another line
-/// is added.
-pub(super) fn has_space_for<'a>(another: &GossipLine, present: impl Iterator<Item = &'a GossipLine>) -> bool {
-    let present_bytes: usize = present.map(GossipLine::num_bytes).sum();
-    HEADER_BYTES + present_bytes + another.num_bytes() <= MAX_MESSAGE_BYTES
+/// Returns whether a message that consists of `existing` lines stays within the largest length if a line is
+/// added.
+pub(super) fn has_space_for<'a>(added: &GossipLine, existing: impl Iterator<Item = &'a GossipLine>) -> bool {
+    let existing_bytes: usize = existing.map(GossipLine::num_bytes).sum();
+    HEADER_BYTES + existing_bytes + added.num_bytes() <= MAX_MESSAGE_BYTES
 }
 
 impl GossipMessage {
-    /// Returns the bytes of the message.
+    /// Encodes the message.
     pub fn encode(&self) -> Vec<u8> {
         let mut body = vec![MAGIC, 0, 0];
         self.incarnation.write(&mut body);
@@ -183,7 +183,8 @@
         body
     }
 
-    /// Reads a message. Returns `None` unless all of its lines are known and valid.
+    /// Decodes a message. Returns `None` if the magic number or the checksum is wrong, or a line is
+    /// incomplete, invalid or of an unknown kind.
     pub fn decode(body: &[u8]) -> Option<GossipMessage> {
         if body.len() < HEADER_BYTES
             || body[0] != MAGIC
@@ -202,7 +203,7 @@
     }
 }
 
-/// Returns the latency byte. Latencies above the objective are written as the objective.
+/// Encodes a latency as the latency byte. A latency above the objective is encoded as the objective.
 fn encode_latency(latency: Option<f64>) -> u8 {
     match latency {
         Some(fraction) => (fraction.clamp(0.0, 1.0) * f64::from(FULL_LATENCY)).round() as u8,
@@ -210,7 +211,7 @@
     }
 }
 
-/// Returns the latency that a latency byte encodes.
+/// Decodes the latency byte.
 fn decode_latency(byte: u8) -> Option<f64> {
     if byte == NO_LATENCY {
         None
@@ -219,8 +220,9 @@
     }
 }
 
-/// Returns the sum of all bytes but those of the checksum, each multiplied by an odd weight that grows with
-/// its position, so that bytes that change places are noticed.
+/// Returns the checksum of a message: the sum of all bytes except those of the checksum, modulo
+/// [`CHECKSUM_MODULUS`]. Each byte is multiplied by an odd weight that grows with its position, so that
+/// swapped bytes are detected.
 fn checksum(body: &[u8]) -> u16 {
     let mut sum: u32 = 0;
     for (position, byte) in (0u32..).zip(body) {
--- a/limiter-core/src/gossip/flush.rs
+++ b/limiter-core/src/gossip/flush.rs
@@ -1,5 +1,5 @@
-//! Sending of gossip: how many messages are sent, which lines are dropped as useless, and when the next flush
-//! is due.
+//! Sending of gossip: how many messages are sent, which lines are dropped as outdated, and when the next
+//! flush is due.
 
 use super::messages::{GossipLine, GossipMessage};
 use super::queue::{QueuedLine, QueuedMessage};
@@ -39,8 +39,8 @@
 }
 
 impl Limiter {
-    /// Queues a line for a peer and sends what the allowance permits. A settlement for this limiter itself
-    /// takes effect immediately, without a message.
+    /// Queues a line for a peer and sends as many messages as the allowance permits. A settlement for this
+    /// limiter itself takes effect immediately, without a message.
     pub(crate) fn send_gossip(&mut self, to: u32, line: GossipLine, out: &mut Vec<Action>) {
         if to == self.context.settings.position {
             if let GossipLine::Settlement(settlement) = line {
@@ -53,8 +53,8 @@
         self.flush_gossip(out);
     }
 
-    /// Sends queued messages as far as the allowance permits, and sets a timer for the rest. Lines that are
-    /// no longer of use are dropped; a message that has no other lines is not sent and takes nothing from the
+    /// Sends as many queued messages as the allowance permits, and sets a timer for the rest. Drops lines
+    /// that are no longer of use. A message that has no other lines is not sent and is not deducted from the
     /// allowance.
     pub(crate) fn flush_gossip(&mut self, out: &mut Vec<Action>) {
         let now = self.context.now;
@@ -70,7 +70,7 @@
             let message = GossipMessage { incarnation: self.context.incarnation, latency, lines };
             out.push(Action::SendGossip { to: queued.to, body: message.encode() });
         }
-        let next_flush = self.gossip.next_flush_in_ms(rate, self.context.settings.event_interval_ms);
+        let next_flush = self.gossip.next_flush_delay_ms(rate, self.context.settings.event_interval_ms);
         if let Some(after_ms) = next_flush {
             self.gossip.flush_scheduled = true;
             out.push(Action::SetTimer { after_ms, token: TimerToken::GossipFlush });
--- a/limiter-core/src/gossip/messages.rs
+++ b/limiter-core/src/gossip/messages.rs
@@ -1,4 +1,4 @@
-//! The messages between limiters, as typed values. `codec` gives them their bytes.
+//! The types of gossip messages and their lines. `codec` converts messages to bytes and back.
 
 use crate::endpoints::Fingerprint;
 use crate::event::{CustomerId, RequestId};
@@ -19,9 +19,10 @@
     pub member_count: u16,
     /// Units of the request.
     pub units: f32,
-    /// Units that the member has shed since the owner's last reply.
+    /// Units that the member has shed since the last reply of any owner.
     pub unreported_units: f32,
-    /// The member has spent the units from its local share: the request reports them and asks for no grant.
+    /// Whether the member has already spent the units from its even share. Such a quota request reports the
+    /// spent units and does not ask for a grant.
     pub already_spent: bool,
 }
 
@@ -45,27 +46,28 @@
     pub granted: bool,
 }
 
-/// A member's report that it has finished a request whose units were granted.
+/// A member's report of the actual cost of a finished request whose units were granted or reported as spent.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) struct Settlement {
     /// Id of the client request at the member.
     pub id: RequestId,
-    /// Units that the request really cost: 0 if no attempt was forwarded.
+    /// Actual cost of the request in units: 0 if no attempt was started.
     pub used_units: f32,
 }
 
 /// One line of a message.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) enum GossipLine {
-    /// From a member of a quota to one of the owners.
+    /// Sent by a member of a quota to one of the owners.
     QuotaRequest(QuotaRequest),
-    /// From an owner of a quota to a member.
+    /// Sent by an owner of a quota to a member.
     GrantReply(GrantReply),
-    /// From a member of a quota to the owner that granted the units.
+    /// Sent by a member of a quota to the owner that granted the units or was notified of them.
     Settlement(Settlement),
-    /// From a limiter that discovery does not answer to any peer, which replies with its tombstones.
+    /// Sent to a random peer by a limiter that receives no answer from discovery. The peer replies with its
+    /// tombstones.
     TombstonePoll,
-    /// Reply to a poll: a server that is draining or was removed.
+    /// Sent in reply to a poll: identifies a server that is draining or was removed.
     Tombstone(Fingerprint),
 }
 
@@ -82,8 +84,8 @@
 }
 
 impl GossipMessage {
-    /// Returns whether the sender serves clients: it has had responses of servers recently, or it requests
-    /// units for a client's request.
+    /// Returns whether the sender serves clients: the sender has received responses from servers recently, or
+    /// the message contains a quota request for a client request.
     pub fn is_from_serving_limiter(&self) -> bool {
         let has_quota_request = self.lines.iter().any(|line| matches!(line, GossipLine::QuotaRequest(_)));
         self.latency.is_some() || has_quota_request
--- a/limiter-core/src/gossip/queue.rs
+++ b/limiter-core/src/gossip/queue.rs
@@ -1,4 +1,4 @@
-//! The queue of gossip messages, and the allowance for sending them.
+//! The queue of gossip messages, and the send allowance.
 
 use std::collections::VecDeque;
 
@@ -7,11 +7,12 @@
 use crate::event::{Millis, RequestId};
 use crate::token_bucket::TokenBucket;
 
-/// Largest number of queued messages: hundreds of peers may poll a limiter that may send next to nothing.
-/// With 256 bytes each at most, the queue holds 64 KiB of messages at most.
+/// Largest number of queued messages. Without this bound the queue could grow too large, because hundreds of
+/// peers may poll a limiter whose send allowance is close to zero. With 256 bytes each at most, the queue
+/// holds 64 KiB of messages at most.
 const MAX_QUEUED_MESSAGES: usize = 256;
-/// Time in seconds for which this limiter may save up its allowance. A queue that takes longer to send is
-/// congested.
+/// Time in seconds for which unused allowance accumulates. A queue that takes longer than this
+/// time to send is congested.
 const BURST_S: f64 = 0.1;
 /// Shortest time to the next flush in milliseconds.
 const MIN_FLUSH_DELAY_MS: Millis = 1.0;
@@ -34,7 +35,7 @@
     pub lines: Vec<QueuedLine>,
 }
 
-/// The messages that wait for the allowance.
+/// The messages that wait to be sent, and the send allowance.
 #[derive(Debug)]
 pub(crate) struct GossipQueue {
     /// Messages in the order in which their first lines were queued.
@@ -63,16 +64,16 @@
     /// Adds a line to the first queued message to the receiver that has space for the line, or else to a new
     /// message.
     pub(super) fn push(&mut self, now: Millis, to: u32, line: GossipLine) {
-        let with_space = self.messages.iter_mut().find(|message| {
+        let message_with_space = self.messages.iter_mut().find(|message| {
             message.to == to && has_space_for(&line, message.lines.iter().map(|queued| &queued.line))
         });
-        match with_space {
+        match message_with_space {
             Some(message) => message.lines.push(QueuedLine { queued_at: now, line }),
             None => self.push_message(now, to, vec![line]),
         }
     }
 
-    /// Adds a new message. The oldest messages beyond the bound of the queue are dropped.
+    /// Adds a new message. Drops the oldest messages if the queue exceeds its bound.
     pub fn push_message(&mut self, now: Millis, to: u32, lines: Vec<GossipLine>) {
         let lines = lines.into_iter().map(|line| QueuedLine { queued_at: now, line }).collect();
         self.messages.push_back(QueuedMessage { to, lines });
@@ -80,7 +81,7 @@
         self.messages.drain(..num_excess);
     }
 
-    /// Returns whether a request for a grant, as opposed to a report of spent units, is still in the queue.
+    /// Returns whether a quota request to an owner is still in the queue. Reports of spent units are ignored.
     pub fn has_unsent_quota_request(&self, owner: u32, id: RequestId) -> bool {
         let is_request = |queued: &QueuedLine| match queued.line {
             GossipLine::QuotaRequest(request) => request.id == id && !request.already_spent,
@@ -96,10 +97,10 @@
 
     /// Removes the next message to be sent, if there is one and the allowance permits one more message.
     ///
-    /// Messages are sent in the order of the queue while all of them are sent soon: otherwise the few peers
-    /// of a small deployment would starve each other. In a congested queue the newest message is next: in the
-    /// order of the queue, each reply would arrive too late, would be requested again, and would so lengthen
-    /// the queue.
+    /// The oldest message is next if the queue is not congested: otherwise the few peers of a small
+    /// deployment would starve each other. The newest message is next if the queue is congested: if the
+    /// oldest were next, every reply would arrive too late, and the members would repeat their quota
+    /// requests, so that the queue would grow further.
     pub(super) fn pop(&mut self, rate: f64) -> Option<QueuedMessage> {
         if self.allowance.level < 1.0 {
             return None;
@@ -112,13 +113,14 @@
         }
     }
 
-    /// Deducts a message that is sent.
+    /// Deducts one message from the allowance.
     pub(super) fn spend_allowance(&mut self) {
         self.allowance.level -= 1.0;
     }
 
-    /// Returns after which time the next message may be sent, if a timer has to be set for that.
-    pub(super) fn next_flush_in_ms(&self, rate: f64, event_interval_ms: Millis) -> Option<Millis> {
+    /// Returns the time in milliseconds to the next flush, or `None` if no timer has to be set for a flush: a
+    /// timer is set already, the queue is empty, or the rate is 0.
+    pub(super) fn next_flush_delay_ms(&self, rate: f64, event_interval_ms: Millis) -> Option<Millis> {
         if self.flush_scheduled || self.messages.is_empty() || rate <= 0.0 {
             return None;
         }
--- a/limiter-core/src/gossip/receive.rs
+++ b/limiter-core/src/gossip/receive.rs
@@ -1,4 +1,4 @@
-//! Gossip that arrives: what is done with each line of a message.
+//! Handling of received gossip messages, line by line.
 
 use super::messages::{GossipLine, GossipMessage, QuotaRequest};
 use crate::event::Action;
@@ -25,7 +25,7 @@
         }
     }
 
-    /// Handles one line of a message from a peer with this incarnation.
+    /// Handles one line of a message from a peer, whose incarnation is that of the message.
     fn on_gossip_line(&mut self, from: u32, incarnation: u32, line: GossipLine, out: &mut Vec<Action>) {
         match line {
             GossipLine::QuotaRequest(request) => {
@@ -33,7 +33,7 @@
                 self.on_quota_request(key, &request, out);
             }
             GossipLine::GrantReply(reply) => {
-                // A reply to an earlier incarnation may carry the id of a request of this one.
+                // A reply to an earlier incarnation may carry the id of a request of the current incarnation.
                 if reply.member_incarnation == self.context.incarnation {
                     self.on_grant_reply(from, &reply, out);
                 }
@@ -54,8 +54,8 @@
     /// Decides on a member's quota request and replies. A request for a quota that this limiter does not own,
     /// or with an unknown plan, is ignored.
     ///
-    /// Messages that arrived during a stall are handled right after the stall and are ignored: the members no
-    /// longer wait for the replies, which would only waste units.
+    /// A quota request that arrived during a stall is handled right after the stall and is ignored: the
+    /// member no longer waits for the reply, so a grant would only waste units.
     fn on_quota_request(&mut self, key: GrantKey, request: &QuotaRequest, out: &mut Vec<Action>) {
         let has_just_resumed = self.resumed_at >= self.context.now;
         if has_just_resumed {
