--- a/limiter-core/src/quota/member/reply_wait.rs
+++ b/limiter-core/src/quota/member/reply_wait.rs
@@ -16,7 +16,7 @@
 }
 
 impl ReplyWait {
-    /// Starts from [`INITIAL_REPLY_WAIT_MS`].
+    /// Creates the state before any reply, with a usual wait of [`INITIAL_REPLY_WAIT_MS`].
     pub fn new() -> Self {
         ReplyWait { usual_ms: INITIAL_REPLY_WAIT_MS }
     }
--- a/limiter-core/src/quota/mod.rs
+++ b/limiter-core/src/quota/mod.rs
@@ -47,7 +47,7 @@
 //!   spent, and refills only once all earlier grants must have expired.
 //! - A member spends from its even share only if the member is also an owner, and its fraction of the ceiling
 //!   covers the units.
-//! - No request is admitted while no owner can be asked.
+//! - No request under a ceiling is admitted while no owner can be asked.
 
 mod keys;
 mod member;
--- a/limiter-core/src/quota/owner/bucket.rs
+++ b/limiter-core/src/quota/owner/bucket.rs
@@ -86,8 +86,8 @@
     }
 
     /// Refills both buckets; the bucket of the rate quota by `rate_quota_fraction` of the plan's rate and
-    /// burst. Outstanding units lower the capacity of the ceiling's bucket: a member may still
-    /// spend the units after the refill.
+    /// burst. Outstanding units lower the capacity of the ceiling's bucket: a member may still spend the
+    /// units after the refill.
     pub fn refill(&mut self, now: Millis, plan: &Plan, rate_quota_fraction: f64) {
         self.tokens.refill(now, plan.rate * rate_quota_fraction, plan.burst * rate_quota_fraction);
         let ceiling_capacity = plan.ceiling_burst * self.ceiling_fraction - self.outstanding_units;
@@ -101,9 +101,9 @@
     }
 
     /// Returns the customer's demand as a multiple of its quota. While the quota of attempts in flight is
-    /// full, the quota is the rate that was admitted, because the rate that the attempts in flight allow is
-    /// not known in advance.
-    /// Otherwise the quota is the rate of the plan; returns 0 for a plan without a rate.
+    /// full, the quota is the rate that was admitted, because the rate that a limit on attempts in flight
+    /// permits is not known in advance. Otherwise the quota is the rate of the plan; returns 0 for a plan without
+    /// a rate.
     pub fn demand_ratio(&self, now: Millis, plan: &Plan) -> f64 {
         let is_full = plan.max_in_flight > 0 && self.in_flight >= plan.max_in_flight;
         let quota = if is_full {
--- a/limiter-core/src/quota/owner/expiry.rs
+++ b/limiter-core/src/quota/owner/expiry.rs
@@ -8,8 +8,8 @@
 use crate::quota::retention::retention_ms;
 
 /// Shortest time in milliseconds for which an owner retains a decision; the longest latency objective applies
-/// if that is longer. After this time, a duplicate of the quota request is decided on anew, and a
-/// settlement is ignored.
+/// if that is longer. After this time, a duplicate of the quota request is decided on anew, and a settlement
+/// is ignored.
 const MIN_DECISION_RETENTION_MS: Millis = 8000.0;
 
 impl OwnedQuotas {
