--- a/limiter-core/src/quota/owner/bucket.rs
+++ b/limiter-core/src/quota/owner/bucket.rs
@@ -102,8 +102,8 @@
 
     /// Returns the customer's demand as a multiple of its quota. While the quota of attempts in flight is
     /// full, the quota is the rate that was admitted, because the rate that a limit on attempts in flight
-    /// permits is not known in advance. Otherwise the quota is the rate of the plan; returns 0 for a plan without
-    /// a rate.
+    /// permits is not known in advance. Otherwise the quota is the rate of the plan; returns 0 for a plan
+    /// without a rate.
     pub fn demand_ratio(&self, now: Millis, plan: &Plan) -> f64 {
         let is_full = plan.max_in_flight > 0 && self.in_flight >= plan.max_in_flight;
         let quota = if is_full {
