--- a/limiter/src/discovery/error.rs
+++ b/limiter/src/discovery/error.rs
@@ -1,4 +1,4 @@
-//! Why a watch has ended.
+//! The reasons why a watch ends.
 
 use super::framing::FramingError;
 use super::request::WatchRequestError;
@@ -26,7 +26,7 @@
     /// The response cannot be split into JSON objects.
     #[error("a list cannot be read: {0}")]
     Framing(#[from] FramingError),
-    /// A newer source has announced a list and counts from now on.
+    /// A newer source has announced a list and replaces this one.
     #[error("superseded by a newer source")]
     Superseded,
 }
@@ -44,14 +44,15 @@
         }
     }
 
-    /// Returns whether discovery sent what could not be read.
+    /// Returns whether discovery sent something that could not be read as an endpoint list.
     pub fn is_unreadable(&self) -> bool {
         matches!(self, WatchError::InvalidList(_) | WatchError::Framing(_))
     }
 }
 
 impl From<WatchRequestError> for WatchError {
-    /// A request that timed out counts as a silent watch, since the same waits follow.
+    /// Converts the error of a request. A request that timed out is treated as a silent watch, because the
+    /// same waits follow.
     fn from(error: WatchRequestError) -> WatchError {
         match error {
             WatchRequestError::TimedOut => WatchError::Silent,
--- a/limiter/src/discovery/framing.rs
+++ b/limiter/src/discovery/framing.rs
@@ -3,8 +3,8 @@
 use bytes::{Buf, BytesMut};
 
 /// Longest object that is accepted, in bytes. Bounds the memory that a faulty discovery can make the limiter
-/// use. The largest fleet has 3,200 servers, twice as many are listed while all of them are replaced, and an
-/// indented entry has some 300 bytes: about 2 MB, half of this bound.
+/// use. The largest fleet has 3,200 servers, and twice as many are listed while all of them are replaced.
+/// With about 300 bytes for an indented entry, the list takes about 2 MB, half of this bound.
 pub const MAX_OBJECT_BYTES: usize = 4 << 20;
 
 /// Why a stream cannot be split any further.
@@ -18,18 +18,19 @@
     TooLong,
 }
 
-/// Splits a stream into JSON objects, however they are laid out and wherever the chunks of the stream end.
-/// The framer checks only brackets and strings: an object may be malformed inside.
+/// Splits a stream into JSON objects, regardless of their layout and of the boundaries between the chunks of
+/// the stream. The framer examines only brackets and strings, so the objects that it returns may be
+/// malformed.
 #[derive(Default)]
 pub struct ObjectFramer {
     buffer: BytesMut,
-    /// Number of bytes of the buffer that were scanned.
+    /// Number of bytes of the buffer that have been scanned.
     scanned: usize,
-    /// Number of brackets that are open after the scanned bytes.
+    /// Number of brackets that are open at the end of the scanned bytes.
     depth: u32,
-    /// The scanned bytes end within a string.
+    /// Whether the scanned bytes end within a string.
     is_in_string: bool,
-    /// The next byte is escaped by a backslash.
+    /// Whether a backslash escapes the next byte.
     is_escaped: bool,
 }
 
@@ -39,8 +40,8 @@
         self.buffer.extend_from_slice(data);
     }
 
-    /// Returns whether no incomplete object has begun. Call [`ObjectFramer::next_object`] first, which skips
-    /// the white space between objects.
+    /// Returns whether the buffer is empty, so that the stream has been split up to the end of an object.
+    /// Call [`ObjectFramer::next_object`] first, which skips the white space between objects.
     pub fn is_between_objects(&self) -> bool {
         self.buffer.is_empty()
     }
@@ -48,14 +49,14 @@
     /// Returns the next object, if it has arrived completely.
     ///
     /// # Errors
-    /// [`FramingError`]; the rest of the stream cannot be used.
+    /// [`FramingError`] if the rest of the stream cannot be split.
     pub fn next_object(&mut self) -> Result<Option<BytesMut>, FramingError> {
         if self.depth == 0 {
-            self.find_beginning()?;
+            self.skip_to_object()?;
         }
         while let Some(byte) = self.buffer.get(self.scanned).copied() {
             self.scanned += 1;
-            if self.scan(byte) {
+            if self.scan_byte(byte) {
                 let length = std::mem::take(&mut self.scanned);
                 return Ok(Some(self.buffer.split_to(length)));
             }
@@ -67,17 +68,20 @@
     }
 
     /// Skips white space up to the beginning of an object.
-    fn find_beginning(&mut self) -> Result<(), FramingError> {
-        let blank_length = self.buffer.iter().take_while(|byte| byte.is_ascii_whitespace()).count();
-        self.buffer.advance(blank_length);
+    ///
+    /// # Errors
+    /// [`FramingError::NotAnObject`] if something else follows the white space.
+    fn skip_to_object(&mut self) -> Result<(), FramingError> {
+        let whitespace_length = self.buffer.iter().take_while(|byte| byte.is_ascii_whitespace()).count();
+        self.buffer.advance(whitespace_length);
         match self.buffer.first() {
             None | Some(b'{') => Ok(()),
             Some(_) => Err(FramingError::NotAnObject),
         }
     }
 
-    /// Scans one byte. Returns whether it ends the object.
-    fn scan(&mut self, byte: u8) -> bool {
+    /// Scans one byte. Returns whether the byte ends the object.
+    fn scan_byte(&mut self, byte: u8) -> bool {
         match byte {
             _ if self.is_escaped => self.is_escaped = false,
             b'\\' if self.is_in_string => self.is_escaped = true,
--- a/limiter/src/discovery/framing/tests.rs
+++ b/limiter/src/discovery/framing/tests.rs
@@ -1,8 +1,8 @@
-//! Splitting of a stream into objects.
+//! Splitting a stream into JSON objects.
 
 use super::{ObjectFramer, MAX_OBJECT_BYTES};
 
-/// Returns the objects in `text`, which the framer is given in chunks of a fixed length.
+/// Passes `text` to a framer in chunks of `chunk_length` bytes, and returns the objects.
 fn split(text: &str, chunk_length: usize) -> Vec<String> {
     let mut framer = ObjectFramer::default();
     let mut objects = Vec::new();
@@ -12,12 +12,15 @@
             objects.push(String::from_utf8_lossy(&object).into_owned());
         }
     }
-    assert!(framer.is_between_objects() || framer.next_object().is_err(), "{text:?} leaves a part");
+    assert!(
+        framer.is_between_objects() || framer.next_object().is_err(),
+        "{text:?} leaves an incomplete object"
+    );
     objects
 }
 
 #[test]
-fn objects_are_split_however_they_are_laid_out() {
+fn objects_are_split_in_any_layout_and_chunk_length() {
     let one = "{\n  \"version\": 4,\n  \"servers\": [\n    { \"id\": \"a}\\\"{[\" }\n  ]\n}";
     let text = format!("\n\n{one}\r\n\n{{\"version\":5,\"servers\":[]}}{one}\n");
     for chunk_length in [1, 2, 3, 7, text.len()] {
--- a/limiter/src/discovery/in_flight.rs
+++ b/limiter/src/discovery/in_flight.rs
@@ -1,9 +1,9 @@
-//! The watch requests that are in flight: the newest, and an earlier one that was not answered in time.
+//! The watch requests in flight: the newest one, and an earlier one that was not answered in time.
 //!
-//! From a discovery that answers every request later than the response timeout, the limiter would otherwise
-//! never receive a list: each request would be dropped before its answer. The slow request stays in flight
-//! through the backoff and the requests that follow it. An answer that arrives during a backoff is returned
-//! by the next call of [`InFlightRequests::open_watch`].
+//! A request that exceeds the response timeout stays in flight during the backoff and the requests that
+//! follow it. If it were dropped, the limiter would never receive a list from a discovery that answers every
+//! request later than the response timeout. A response that arrives during a backoff is returned by the next
+//! call of [`InFlightRequests::open_watch`].
 
 use std::future::Future;
 use std::pin::Pin;
@@ -14,26 +14,27 @@
 use super::request::{send_watch_request, WatchRequestError, WatchStream};
 use super::source::WatchSource;
 
-/// A request that was not answered in time is awaited until this time after it was sent, beside the requests
-/// that follow it. Discovery may be slow or overloaded, and a change counts as announced 6 s after discovery
-/// had it.
+/// Time from sending a request until it is abandoned. After the response timeout, the request stays in flight
+/// beside the requests that follow it, because discovery may be slow or overloaded. A limiter is expected to
+/// know a change 6 s after discovery has received it.
 const SLOW_REQUEST_TIMEOUT: Duration = Duration::from_secs(6);
 
-/// A watch request that awaits its response. Dropping it closes its connection.
+/// A watch request that awaits its response. Dropping the request closes its connection.
 type InFlightRequest = Pin<Box<dyn Future<Output = Result<WatchStream, WatchRequestError>>>>;
 
 /// A request that was not answered in time.
 struct SlowRequest {
     request: InFlightRequest,
-    /// The request is abandoned at this time.
+    /// When the request is abandoned.
     deadline: Instant,
 }
 
-/// Sends the requests of one watch, and keeps those that are in flight.
+/// Sends the requests of one watch, and holds those that are in flight.
 pub struct InFlightRequests {
-    /// Longest time for which the newest request is awaited before another one is sent.
+    /// Longest time for which the response to the newest request is awaited.
     response_timeout: Duration,
-    /// The oldest request that is still unanswered: its response is the closest.
+    /// The oldest request that exceeded the response timeout and is still unanswered. Of all unanswered
+    /// requests, its response is expected first.
     slow: Option<SlowRequest>,
 }
 
@@ -44,7 +45,7 @@
     }
 
     /// Requests a watch on a source, from the last version of its list that was read. A response to the slow
-    /// request counts as well. After a response every other request is dropped.
+    /// request opens the watch as well. Once a watch is open, every other request is dropped.
     ///
     /// Cancelling drops the new request, and leaves the slow one in flight.
     ///
--- a/limiter/src/discovery/mod.rs
+++ b/limiter/src/discovery/mod.rs
@@ -1,7 +1,7 @@
 //! The watch on the endpoint list at discovery.
 //!
-//! A reload of the configuration may name another address of discovery. Each address that was ever named is a
-//! separate source, with a number and a watch. Versions of one source's list say nothing about the list of
+//! A reload of the configuration may change the address of discovery. Each change creates a new source, which
+//! has a number and a watch of its own. The versions of one source's list say nothing about the list of
 //! another source.
 //!
 //! Modules, in the order in which to read them; each one uses only those listed after it:
@@ -9,14 +9,14 @@
 //! | module | job |
 //! | --- | --- |
 //! | [`watch`] | watches one source: opens the watch, applies lists, reopens the watch |
-//! | [`in_flight`] | the watch requests that are in flight: the newest, and a slow one |
+//! | [`in_flight`] | the watch requests in flight: the newest one, and a slow one |
 //! | [`reader`] | reads lists from the response to a watch request |
 //! | [`error`] | why a watch has ended |
 //! | [`request`] | sends one watch request |
 //! | [`framing`] | splits a byte stream into JSON objects |
 //! | [`backoff`] | the waits between watch requests |
-//! | [`policy`] | bounds of the waits and timeouts |
-//! | [`source`] | the sources, and which one of them counts |
+//! | [`policy`] | timeouts and bounds of the backoff |
+//! | [`source`] | the sources of the list, and which one of them is the newest |
 
 mod backoff;
 mod error;
@@ -37,23 +37,24 @@
 use source::{WatchSource, FIRST_SOURCE};
 use watch::Watch;
 
-/// Watches the source that the configuration names, forever.
+/// Watches the source that the configuration names. Never returns.
 ///
 /// After a change of the address, the watch on the old source stays open until the new source has announced a
-/// list, so that no announcement of the old source is lost until then; later ones are ignored. A watch on an
-/// old source that ends for another reason before that is not opened again.
+/// list, so that no earlier announcement of the old source is lost; later ones are ignored. If the watch on
+/// an old source ends before that for another reason, it is not reopened.
 ///
-/// Each watch is a separate task that ends by itself. Cancelling this future only prevents new watches.
+/// Each watch runs in a separate task, which ends by itself. Cancelling this future only prevents new
+/// watches.
 pub async fn run(engine: Rc<Engine>, target: Rc<WatchTarget>) {
     let mut known_version = engine.config().known_endpoints.as_ref().map(|known| known.version);
     let mut watched = None;
     loop {
         let number = target.newest();
-        // A change before the first watch has left a notification, after which the number is the same: each
-        // source is watched once.
+        // A change before the first watch leaves a notification about a source that is already watched. The
+        // comparison ensures that each source is watched only once.
         if watched.replace(number) != Some(number) {
-            // The version of the configured list belongs to the first source, whether or not that was ever
-            // watched.
+            // The version of the configured list belongs to the first source, and is discarded if that source
+            // is not watched.
             let version = known_version.take().filter(|_| number == FIRST_SOURCE);
             let source = WatchSource { address: target.address(), number, version };
             tokio::task::spawn_local(Watch::new(engine.clone(), target.clone(), source).run());
--- a/limiter/src/discovery/policy.rs
+++ b/limiter/src/discovery/policy.rs
@@ -1,63 +1,65 @@
-//! How often discovery is asked for a watch, and how long each answer is awaited.
+//! The timeouts and the bounds of the backoff of watch requests.
 
 use std::time::Duration;
 
 use limiter_core::Settings;
 
-/// Longest time between two signs of a watch that makes progress; discovery sends a keep-alive every 2 s. A
-/// watch that is silent for longer times out. The changes that a silent watch misses count as announced 6 s
-/// after the watch fell silent: this timeout leaves enough time for the longest first backoff
-/// ([`SUBSCRIBED_MAX_INITIAL_BACKOFF`]) and a response.
+/// Time without a list or a keep-alive after which a watch times out. Discovery sends a keep-alive every 2 s.
+/// A limiter is expected to know the changes that a silent watch misses 6 s after the watch fell silent. This
+/// timeout leaves enough time for the longest first backoff ([`SUBSCRIBED_MAX_INITIAL_BACKOFF`]) and a
+/// response.
 pub const MAX_SILENCE: Duration = Duration::from_millis(2500);
 
-/// Time for the response to a request where lists are pushed, after which the next request is sent. A local
-/// agent answers at once and at no cost, and the changes that the agent has count as announced. No time
-/// without a watch may be longer than the rules allow sends to a draining server, 250 ms.
+/// Response timeout where a local agent pushes lists, after which the next request is sent. The agent
+/// responds immediately and at no cost, and a limiter is expected to know each change that the agent has
+/// received. No time without a watch may therefore exceed 250 ms, the time for which the rules allow requests
+/// to a draining server.
 const PUSHED_RESPONSE_TIMEOUT: Duration = Duration::from_millis(200);
-/// Bound of the first backoff where lists are pushed.
+/// Upper bound of the first backoff where a local agent pushes lists.
 const PUSHED_INITIAL_BACKOFF: Duration = Duration::from_millis(25);
-/// Bound of every backoff where lists are pushed. Together with [`PUSHED_RESPONSE_TIMEOUT`] this makes 250
-/// ms.
+/// Upper bound of every backoff where a local agent pushes lists. The sum with [`PUSHED_RESPONSE_TIMEOUT`] is
+/// 250 ms.
 const PUSHED_MAX_BACKOFF: Duration = Duration::from_millis(50);
 
-/// Time for the response to a request where lists are subscribed to, after which the backoff before the next
-/// request begins.
+/// Response timeout where limiters subscribe to lists, after which the backoff before the next request
+/// begins.
 const SUBSCRIBED_RESPONSE_TIMEOUT: Duration = Duration::from_millis(2500);
-/// Least bound of the first backoff where lists are subscribed to, which applies to a few limiters.
+/// Lowest upper bound of the first backoff where limiters subscribe to lists. Applies to small fleets.
 const SUBSCRIBED_MIN_INITIAL_BACKOFF: Duration = Duration::from_millis(50);
-/// Part of the first backoff's bound for each limiter of a fleet. One discovery serves the whole fleet. When
-/// it drops or fails all watches at once and the limiters reconnect in step, each request queues among
+/// Amount by which each limiter of a fleet raises the upper bound of the first backoff. One discovery serves
+/// the whole fleet. If all watches fail at once and the limiters reconnect in step, each request queues among
 /// requests that have timed out, and no watch is ever opened.
 const SUBSCRIBED_INITIAL_BACKOFF_PER_LIMITER: Duration = Duration::from_millis(20);
-/// Largest bound of the first backoff, which [`MAX_SILENCE`] leaves time for.
+/// Highest upper bound of the first backoff. [`MAX_SILENCE`] leaves enough time for this backoff.
 const SUBSCRIBED_MAX_INITIAL_BACKOFF: Duration = Duration::from_secs(2);
-/// Least bound of every backoff where lists are subscribed to, which applies to a few limiters.
+/// Lowest upper bound of every backoff where limiters subscribe to lists. Applies to small fleets.
 const SUBSCRIBED_MIN_BACKOFF_CAP: Duration = Duration::from_secs(1);
-/// Part of every backoff's bound for each limiter of a fleet.
+/// Amount by which each limiter of a fleet raises the upper bound of every backoff.
 const SUBSCRIBED_BACKOFF_CAP_PER_LIMITER: Duration = Duration::from_millis(100);
-/// Largest bound of every backoff. A change counts as announced 6 s after discovery had it and could be
-/// reached, whatever failed before. From the beginning of one request to that of the next it takes no longer
-/// than this, which leaves 2 s for the response. Where all requests of a fleet of n limiters fail, the mean
-/// wait is three quarters of this, so that the fleet sends n / 3 requests a second.
+/// Highest upper bound of every backoff, and longest time from the start of a failed request to the start of
+/// the next one. A limiter is expected to know a change 6 s after discovery has received it and can be
+/// reached, regardless of earlier failures, so this bound leaves 2 s for the response. While all requests of
+/// a fleet of n limiters fail, the mean wait is three quarters of this bound, and the fleet sends n / 3
+/// requests a second.
 const SUBSCRIBED_MAX_BACKOFF_CAP: Duration = Duration::from_secs(4);
 
-/// How often discovery is asked for a watch, and how long each answer is awaited.
+/// The timeouts and the bounds of the backoff of watch requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct WatchPolicy {
-    /// Time from the beginning of a request to the head of its response, after which the request counts as
-    /// slow: the next request follows, and the slow one stays in flight beside it.
+    /// Longest time from the start of a request to the head of its response. A request that exceeds this time
+    /// is slow: it stays in flight beside the next request.
     pub response_timeout: Duration,
-    /// Bound of the first backoff.
+    /// Upper bound of the first backoff.
     pub initial_backoff: Duration,
-    /// Bound of every backoff, after however many failures.
+    /// Upper bound of every backoff, regardless of the number of failures.
     pub max_backoff: Duration,
-    /// A request that timed out, or a watch that fell silent, is followed by the next request without a
-    /// backoff.
-    pub retry_timeout_immediately: bool,
+    /// Whether the next request follows without a backoff after a request that timed out or a watch that fell
+    /// silent.
+    pub retry_immediately_after_timeout: bool,
 }
 
 impl WatchPolicy {
-    /// Returns the policy under these settings.
+    /// Returns the policy for these settings.
     pub fn new(settings: &Settings) -> WatchPolicy {
         if settings.must_subscribe {
             WatchPolicy::subscribed(settings.limiters)
@@ -66,13 +68,13 @@
         }
     }
 
-    /// Returns the policy where a local agent pushes lists.
+    /// Returns the policy of a limiter to which a local agent pushes lists.
     fn pushed() -> WatchPolicy {
         WatchPolicy {
             response_timeout: PUSHED_RESPONSE_TIMEOUT,
             initial_backoff: PUSHED_INITIAL_BACKOFF,
             max_backoff: PUSHED_MAX_BACKOFF,
-            retry_timeout_immediately: true,
+            retry_immediately_after_timeout: true,
         }
     }
 
@@ -85,7 +87,7 @@
             initial_backoff: initial_backoff
                 .clamp(SUBSCRIBED_MIN_INITIAL_BACKOFF, SUBSCRIBED_MAX_INITIAL_BACKOFF),
             max_backoff: max_backoff.clamp(SUBSCRIBED_MIN_BACKOFF_CAP, SUBSCRIBED_MAX_BACKOFF_CAP),
-            retry_timeout_immediately: false,
+            retry_immediately_after_timeout: false,
         }
     }
 }
--- a/limiter/src/discovery/reader.rs
+++ b/limiter/src/discovery/reader.rs
@@ -10,10 +10,10 @@
 use super::policy::MAX_SILENCE;
 use crate::endpoints::EndpointList;
 
-/// Reads one watch.
+/// Reads the lists of one watch.
 pub struct ListReader {
     framer: ObjectFramer,
-    /// The watch counts as silent at this time.
+    /// When the watch times out as silent.
     deadline: Instant,
 }
 
@@ -51,12 +51,12 @@
         Ok(Some(serde_json::from_slice(&object)?))
     }
 
-    /// Returns whether no list has begun to arrive that is incomplete.
+    /// Returns whether the data that was appended ends between two lists, and not within one.
     pub fn is_between_lists(&self) -> bool {
         self.framer.is_between_objects()
     }
 
-    /// Records that the watch is not silent: a list or a keep-alive has arrived.
+    /// Restarts the silence timeout, after a list or a keep-alive has arrived.
     pub fn renew_deadline(&mut self) {
         self.deadline = Instant::now() + MAX_SILENCE;
     }
--- a/limiter/src/discovery/request.rs
+++ b/limiter/src/discovery/request.rs
@@ -1,4 +1,4 @@
-//! One watch request.
+//! Sends one watch request.
 
 use std::io;
 
@@ -18,16 +18,16 @@
 /// watch lasts.
 const WATCH_PATH: &str = "/api/targets?watch=1";
 
-/// Why a request opened no watch.
+/// Why a request did not open a watch.
 #[derive(Debug, thiserror::Error)]
 pub enum WatchRequestError {
     /// No response arrived in time.
     #[error("no response in time")]
     TimedOut,
-    /// Discovery cannot be reached.
+    /// No connection to discovery could be established.
     #[error("cannot connect: {0}")]
     Connect(#[from] io::Error),
-    /// The connection failed before the response.
+    /// The connection failed before the response arrived.
     #[error("the connection failed: {0}")]
     Http(#[from] hyper::Error),
     /// The address or the version cannot be written in a request.
@@ -38,21 +38,20 @@
     Status(StatusCode),
 }
 
-/// A watch that discovery has accepted. Dropping it closes the connection.
+/// A watch that discovery has accepted. Dropping the stream closes the connection.
 pub struct WatchStream {
-    /// The list and its changes.
+    /// The body of the response: the list and its changes.
     pub body: Incoming,
     _connection: ConnectionTask,
 }
 
-/// A connection that a request can be sent on.
+/// A connection on which a request can be sent.
 struct WatchConnection {
     sender: SendRequest<Empty<Bytes>>,
     task: ConnectionTask,
 }
 
-/// The task that does the input and output of a connection. Dropping this cancels the task, which closes the
-/// connection.
+/// The task that drives a connection. Dropping this handle cancels the task, which closes the connection.
 struct ConnectionTask(JoinHandle<()>);
 
 impl Drop for ConnectionTask {
@@ -62,7 +61,7 @@
 }
 
 /// Requests a watch on a source, from the last version of its list that was read. Waits for the response
-/// without a limit. Cancelling closes the connection.
+/// without a timeout. Cancelling closes the connection.
 ///
 /// # Errors
 /// [`WatchRequestError`], but never [`WatchRequestError::TimedOut`].
--- a/limiter/src/discovery/source.rs
+++ b/limiter/src/discovery/source.rs
@@ -1,30 +1,30 @@
-//! The sources of the endpoint list, and which one of them counts.
+//! The sources of the endpoint list, and which one of them is the newest.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
 
 use tokio::sync::Notify;
 
-/// Position of a source among all sources that the configuration has named, from 0.
+/// Number of a source, in the order in which the configuration has named the sources, from 0.
 pub type SourceNumber = u32;
 
-/// The source that the configuration named at the start.
+/// Number of the source that the configuration named at the start.
 pub const FIRST_SOURCE: SourceNumber = 0;
 
-/// The address that is to be watched. A reload of the configuration may change it; each change creates a new
-/// source.
+/// The address of discovery to watch. A reload of the configuration may change the address; each change
+/// creates a new source.
 pub struct WatchTarget {
     /// Address of the newest source.
     address: Cell<SocketAddr>,
     /// Number of the newest source.
     newest: Cell<SourceNumber>,
-    /// The newest source that has announced a list.
+    /// Number of the newest source that has announced a list; the first source if there is none.
     newest_announced: Cell<SourceNumber>,
     changed: Notify,
 }
 
 impl WatchTarget {
-    /// Creates a target with one source, which has announced nothing.
+    /// Creates a target with one source, which has not announced a list.
     pub fn new(address: SocketAddr) -> WatchTarget {
         WatchTarget {
             address: Cell::new(address),
@@ -34,7 +34,7 @@
         }
     }
 
-    /// Changes the address that is to be watched. Returns whether it differs from the present one.
+    /// Changes the address to watch. Returns whether the new address differs from the present one.
     pub fn change_to(&self, address: SocketAddr) -> bool {
         let is_different = self.address.replace(address) != address;
         if is_different {
@@ -54,8 +54,8 @@
         self.newest.get()
     }
 
-    /// Waits for a change of the address. A change before the call completes the wait at once; several
-    /// changes count as one. Cancelling loses none.
+    /// Waits for a change of the address. A change before the call completes the wait immediately; several
+    /// changes complete only one wait. Cancelling loses no change.
     pub async fn changed(&self) {
         self.changed.notified().await;
     }
@@ -65,19 +65,19 @@
         self.newest_announced.set(source);
     }
 
-    /// Returns whether a newer source than this one has announced a list, so that this one no longer counts.
+    /// Returns whether a newer source has announced a list, which replaces the list of this source.
     pub fn is_superseded(&self, source: SourceNumber) -> bool {
         self.newest_announced.get() > source
     }
 }
 
-/// A source, and how much of its list has been read.
+/// A source, and the version up to which its list has been read.
 #[derive(Clone)]
 pub struct WatchSource {
     /// Address of discovery.
     pub address: SocketAddr,
     /// Number of the source.
     pub number: SourceNumber,
-    /// The newest version of the list that was read; `None` requests the complete list.
+    /// The last version of the list that was read; `None` requests the complete list.
     pub version: Option<u64>,
 }
--- a/limiter/src/discovery/test_support.rs
+++ b/limiter/src/discovery/test_support.rs
@@ -1,15 +1,15 @@
-//! Settings for the unit tests of the backoff and the policy.
+//! Settings and policies for the unit tests of the backoff and the policy.
 
 use limiter_core::Settings;
 
 use super::policy::WatchPolicy;
 
-/// Returns the policy of one limiter in a fleet of this size, which subscribes to the list.
+/// Returns the policy of each limiter in a fleet of `limiters` limiters that subscribe to the list.
 pub fn subscribed_policy(limiters: u32) -> WatchPolicy {
     WatchPolicy::new(&Settings { must_subscribe: true, limiters, ..fleet_settings() })
 }
 
-/// Returns the settings of a fleet to which lists are pushed.
+/// Returns the settings of a fleet to which local agents push lists.
 pub fn fleet_settings() -> Settings {
     Settings {
         limiters: 300,
--- a/limiter/src/discovery/watch.rs
+++ b/limiter/src/discovery/watch.rs
@@ -1,4 +1,4 @@
-//! The watch on one source: applies its lists, and is reopened whenever it ends.
+//! The watch on one source: applies the lists of the source, and reopens the watch whenever it ends.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -23,9 +23,9 @@
     error: WatchError,
     /// When the watch was requested.
     requested_at: Instant,
-    /// Discovery had accepted the request.
+    /// Whether discovery had accepted the request.
     was_accepted: bool,
-    /// A list of another version than before was read.
+    /// Whether a list of another version than before was read.
     has_progressed: bool,
 }
 
@@ -37,15 +37,15 @@
     policy: WatchPolicy,
     requests: InFlightRequests,
     backoff: Backoff,
-    /// The core knows that discovery is connected by the present watch.
+    /// Whether the core has been notified that the present watch is connected.
     has_reported_connection: bool,
-    /// Why the last watch ended, to log a repeated error once.
+    /// Why the last watch ended. Used to log a repeated error only once.
     last_error: Option<String>,
 }
 
 impl Watch {
-    /// Creates a watch that has not been requested. The seed of its backoff is the limiter's, altered by the
-    /// source's number.
+    /// Creates a watch that has not been requested. The seed of its backoff is the seed of the limiter,
+    /// combined with the number of the source.
     pub fn new(engine: Rc<Engine>, target: Rc<WatchTarget>, source: WatchSource) -> Watch {
         let policy = WatchPolicy::new(&engine.config().settings);
         let seed = engine.config().seed ^ u64::from(source.number);
@@ -62,10 +62,10 @@
     }
 
     /// Watches the source until there is a newer one and the present watch has ended. A watch that ends,
-    /// breaks or falls silent is reopened from the last version. The connection of a watch is closed before
-    /// the wait for the next one.
+    /// fails or falls silent is reopened from the last version. Its connection is closed before the wait for
+    /// the next watch.
     ///
-    /// Cancelling ends the watch and closes all its connections; the lists that were read have been applied.
+    /// Cancelling ends the watch and closes all its connections. Lists that were read have been applied.
     pub async fn run(mut self) {
         loop {
             let ended = self.watch_once().await;
@@ -79,7 +79,7 @@
             let wait = self.next_wait(&ended);
             self.log_end(&ended);
             tokio::time::sleep(wait).await;
-            // Changes that cannot be read from the last version on may be readable in the complete list.
+            // If the changes since the last version cannot be read, the complete list may be readable.
             if ended.error.is_unreadable() && !ended.has_progressed {
                 self.source.version = None;
             }
@@ -102,29 +102,30 @@
         EndedWatch { error, requested_at, was_accepted, has_progressed }
     }
 
-    /// Returns the time until the next request. Every call makes one random draw, also where no backoff is
-    /// waited for.
+    /// Returns the time until the next request. Every call makes one random draw, even if the next request is
+    /// sent without a backoff.
     fn next_wait(&mut self, ended: &EndedWatch) -> Duration {
         let is_silent = matches!(ended.error, WatchError::Silent);
         let elapsed = ended.requested_at.elapsed();
-        // MAX_SILENCE has already bounded the time of a watch that fell silent, whatever it announced. Any
-        // other watch that ended soon counts as a failure, unless a list was read.
-        let has_lasted = ended.was_accepted && (is_silent || elapsed > self.policy.max_backoff);
-        let backoff = if ended.has_progressed || has_lasted {
+        // A watch that fell silent has lasted for at least MAX_SILENCE, regardless of what it announced. Any
+        // other watch that ended early is a failure, unless a list of another version was read.
+        let lasted_long_enough = ended.was_accepted && (is_silent || elapsed > self.policy.max_backoff);
+        let backoff = if ended.has_progressed || lasted_long_enough {
             self.backoff.after_success()
         } else if ended.was_accepted {
             self.backoff.after_failure(Duration::ZERO)
         } else {
             self.backoff.after_failure(elapsed)
         };
-        if is_silent && self.policy.retry_timeout_immediately {
+        if is_silent && self.policy.retry_immediately_after_timeout {
             Duration::ZERO
         } else {
             backoff
         }
     }
 
-    /// Logs why a watch has ended. An error that occurs many times a second is logged once.
+    /// Counts and logs the end of a watch. An error may occur many times a second: if the next watch ends
+    /// with the same error, that is logged only if the watch read a list of another version.
     fn log_end(&mut self, ended: &EndedWatch) {
         let reason = ended.error.reason();
         Metrics::count(&self.engine.metrics().endpoint_watches_ended, reason);
@@ -135,7 +136,7 @@
         self.last_error = Some(error);
     }
 
-    /// Reads the lists that the source announces until the watch ends. Returns why it has ended.
+    /// Reads and applies the lists that the source announces. Returns why the watch has ended.
     async fn read(&mut self, body: &mut Incoming) -> WatchError {
         self.has_reported_connection = false;
         let mut reader = ListReader::new();
@@ -146,8 +147,11 @@
         }
     }
 
-    /// Reads one frame, and applies the lists that are complete with it. After a list that cannot be read,
-    /// the watch is reopened from the last version that could be read.
+    /// Reads one frame, and applies the lists that this frame completes.
+    ///
+    /// # Errors
+    /// Why the watch has ended. After a list that cannot be read, the watch is reopened from the last version
+    /// that could be read.
     async fn read_frame(&mut self, reader: &mut ListReader, body: &mut Incoming) -> Result<(), WatchError> {
         let frame = reader.next_frame(body).await?;
         if self.target.is_superseded(self.source.number) {
@@ -167,15 +171,15 @@
         Ok(())
     }
 
-    /// Passes a list to the engine.
+    /// Records the version of a list, and passes the list to the engine.
     fn apply(&mut self, list: &EndpointList) {
         self.source.version = Some(list.version);
         self.target.record_announcement(self.source.number);
         self.engine.update_endpoints(list.resolve(&self.engine.config().names));
     }
 
-    /// Reports to the core, once a watch, that discovery is connected. An empty change does so: that nothing
-    /// has changed is an announcement, too.
+    /// Reports to the core, once per watch, that discovery is connected. The report is an empty list of
+    /// changes, which the core handles as an announcement like any other.
     fn report_connection(&mut self) {
         if !std::mem::replace(&mut self.has_reported_connection, true) {
             self.engine.handle_event(Event::EndpointsChanged { complete: false, endpoints: [].into() });
