--- a/limiter/src/config/error.rs
+++ b/limiter/src/config/error.rs
@@ -1,4 +1,4 @@
-//! Why a configuration cannot be used.
+//! The errors of reading a configuration.
 
 use std::fmt;
 use std::io;
@@ -7,7 +7,7 @@
 
 use super::limits::MIN_CONNECTIONS;
 
-/// Why a configuration cannot be used. The message is one line that names the place and the value.
+/// Why a configuration cannot be used. The message is one line that names the origin and the value.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
     /// The variable with the path of the file is absent or empty.
@@ -24,20 +24,21 @@
         /// The error of the system.
         error: io::Error,
     },
-    /// The file is not JSON, has no value for a required key, or has a value of another type.
+    /// The file is not JSON, lacks a required key, or has a value of the wrong type.
     #[error("{path}: {error}")]
     Malformed {
         /// The file.
         path: String,
-        /// Names the key or the place in the file.
+        /// Error of the parser, which names the key or the position in the file.
         error: serde_json::Error,
     },
-    /// A value is neither in the environment, as far as the environment counts, nor in the file.
-    #[error("neither {variable} nor '{key}' in {path} gives a value")]
+    /// Neither the environment nor the file has the value. Empty variables are ignored, and so is
+    /// `ROUTER_DISCOVERY` during a reload.
+    #[error("neither {variable} nor '{key}' in {path} is set")]
     Missing {
-        /// The variable that may have the value.
+        /// The environment variable for the value.
         variable: &'static str,
-        /// The key of the file that may have the value.
+        /// The key for the value in the file.
         key: &'static str,
         /// The file.
         path: String,
@@ -51,7 +52,7 @@
         value: String,
     },
     /// The seed is not a hexadecimal number of at most 64 bits.
-    #[error("{path}: seed '{value}' is not hex")]
+    #[error("{path}: seed '{value}' is not a hexadecimal number of at most 64 bits")]
     InvalidSeed {
         /// The file.
         path: String,
@@ -59,7 +60,7 @@
         value: String,
     },
     /// The idle timeout of servers is negative or not finite.
-    #[error("{path}: IdleCloseMs {value} is not a time")]
+    #[error("{path}: IdleCloseMs {value} is not a duration")]
     InvalidIdleTime {
         /// The file.
         path: String,
@@ -75,7 +76,9 @@
         error: SettingsJsonError,
     },
     /// The platform's limits allow too few connections.
-    #[error("{path}: limits leave room for {available} connections, {MIN_CONNECTIONS} at least are needed")]
+    #[error(
+        "{path}: limits leave room for {available} connections, at least {MIN_CONNECTIONS} are required"
+    )]
     TooFewConnections {
         /// The file.
         path: String,
@@ -85,8 +88,8 @@
 }
 
 impl ConfigError {
-    /// Returns whether the same file may be readable a moment later: a system call failed, or the file was
-    /// read while it was being written.
+    /// Returns whether reading the file again may succeed: a system call failed, or the file was read while
+    /// it was being written.
     pub fn is_transient(&self) -> bool {
         matches!(self, ConfigError::Unreadable { .. } | ConfigError::Malformed { .. })
     }
--- a/limiter/src/config/file.rs
+++ b/limiter/src/config/file.rs
@@ -19,24 +19,24 @@
     /// The platform's limits on this process.
     #[serde(default)]
     pub limits: PlatformLimits,
-    /// Address on which gossip arrives.
+    /// Address on which this limiter receives gossip.
     pub peer_listen: Option<SocketAddr>,
     /// Gossip addresses of all limiters by position.
     #[serde(default)]
     pub peers: Vec<SocketAddr>,
-    /// Gossip address of all limiters together. Parsed to find malformed values, and unused: gossip is sent
-    /// to one peer at a time.
+    /// Gossip address that reaches all limiters. Parsed only to detect malformed values: gossip is sent to
+    /// one peer at a time.
     #[serde(rename = "peers_all")]
     _peers_all: Option<SocketAddr>,
-    /// The endpoint list as this limiter last had it. Plain JSON, because a list that cannot be parsed must
-    /// not make the rest of the file unusable.
+    /// The last endpoint list that this limiter knew. Kept as a JSON value and parsed separately, because an
+    /// invalid list must not make the rest of the file unusable.
     #[serde(rename = "known")]
     pub known_endpoints: Option<serde_json::Value>,
-    /// The settings of the decisions, in the form of the simulator's wire.
+    /// The settings of the core, in the JSON form that the simulator uses.
     pub settings: InstanceSettings,
 }
 
-/// The platform's limits from which the number of open connections follows.
+/// The platform's limits, which bound the number of open connections.
 #[derive(Deserialize, Clone, Copy)]
 #[serde(default)]
 pub struct PlatformLimits {
@@ -46,7 +46,7 @@
     pub memory_mb: f64,
 }
 
-/// The limits if the file names none.
+/// The limits that apply if the file names none.
 impl Default for PlatformLimits {
     fn default() -> Self {
         PlatformLimits { sockets: 1024, memory_mb: 192.0 }
--- a/limiter/src/config/limits.rs
+++ b/limiter/src/config/limits.rs
@@ -3,26 +3,26 @@
 
 use super::file::PlatformLimits;
 
-/// Memory in MB that one connection may use at most. Bounds the number of connections by memory.
+/// Maximum memory in MB that one connection uses. Bounds the number of connections by memory.
 const CONNECTION_MB: f64 = 0.15;
-/// Number of descriptors that no client or server connection may use. These thirteen are always open: the
-/// three standard streams, two for events and one for wake-ups, five for signals (a receiver, and a sender
-/// for each of the four signals), the listener and the gossip socket. At most six more are open for a while:
-/// the watches on the old and the new discovery with a slow request each, the configuration file during a
-/// reload, and a client that is being accepted. The sixth of the connections that is left spare, eight at
-/// least, covers the three beyond this number.
+/// Number of descriptors that are reserved for purposes other than client and server connections. Thirteen
+/// descriptors are always open: the three standard streams, two for events and one for wake-ups, five for
+/// signals (a receiver, and a sender for each of the four signals), the listener and the gossip socket. At
+/// most six more are open temporarily: the watches on the old and the new discovery with a slow request each,
+/// the configuration file during a reload, and a client that is being accepted. The three descriptors beyond
+/// this number are covered by the sixth of the connections that stays spare, which is at least eight.
 const RESERVED_DESCRIPTORS: usize = 16;
 /// Lowest number of connections that the platform's limits must allow. Of 48 connections, 24 are for clients,
 /// 16 for servers, and 8 are spare.
 pub const MIN_CONNECTIONS: usize = 48;
-/// The connections are divided by this number for clients: a half. With [`SERVER_DIVISOR`], a sixth is spare.
+/// Divisor of the connections for the share of clients, a half. With [`SERVER_DIVISOR`], a sixth stays spare.
 const CLIENT_DIVISOR: usize = 2;
-/// The connections are divided by this number for servers: a third.
+/// Divisor of the connections for the share of servers, a third.
 const SERVER_DIVISOR: usize = 3;
 
-/// The memory is divided by this number for bytes that are read ahead beyond what each client connection may
-/// hold in any case. The bytes use a part of the sixth that the connections leave spare, because a buffer may
-/// allocate twice its content.
+/// Divisor of the memory for the bytes that are read ahead beyond the amount that each client connection may
+/// always hold. These bytes use only a part of the sixth that the connections leave spare, because a buffer
+/// may allocate twice its content.
 const READ_AHEAD_DIVISOR: f64 = 16.0;
 /// Bytes in a megabyte, as the platform counts memory.
 const BYTES_PER_MB: f64 = 1e6;
@@ -34,12 +34,12 @@
     pub clients: usize,
     /// Highest number of connections to servers, including idle ones.
     pub servers: usize,
-    /// Highest number of bytes that are read ahead for all clients together, beyond what each connection may
-    /// hold in any case.
+    /// Highest number of bytes that are read ahead for all clients together, beyond the amount that each
+    /// connection may always hold.
     pub read_ahead_bytes: usize,
 }
 
-/// The platform's limits allow fewer than [`MIN_CONNECTIONS`].
+/// The platform's limits allow fewer than [`MIN_CONNECTIONS`] connections.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TooFewConnections {
     /// Number of connections that the limits allow.
--- a/limiter/src/config/mod.rs
+++ b/limiter/src/config/mod.rs
@@ -1,13 +1,14 @@
-//! The configuration: the JSON file that `ROUTER_CONFIG` names, and variables that override single values.
+//! The configuration: the JSON file that `ROUTER_CONFIG` names, and the environment variables that override
+//! single values.
 //!
 //! | file | job |
 //! | --- | --- |
 //! | `file` | the JSON file as the platform writes it |
-//! | `lookup` | values that may be in the environment or in the file |
-//! | `limits` | bounds on connections, from the platform's limits |
-//! | `shutdown` | times of the shutdown, from the classes of requests |
-//! | `site` | settings of the program, beyond those of the core |
-//! | `error` | why a configuration cannot be used |
+//! | `lookup` | lookup of values that may be in the environment or in the file |
+//! | `limits` | bounds on connections, which follow from the platform's limits |
+//! | `shutdown` | times of the graceful shutdown, which follow from the request classes |
+//! | `site` | settings of the program that are not settings of the core |
+//! | `error` | the errors of reading a configuration |
 
 mod error;
 mod file;
@@ -37,14 +38,14 @@
 const NAME_VARIABLE: &str = "ROUTER_NAME";
 /// Variable that overrides `listen` of the file.
 const LISTEN_VARIABLE: &str = "ROUTER_LISTEN";
-/// Variable that overrides `discovery` of the file, at the start only.
+/// Variable that overrides `discovery` of the file, except during a reload.
 const DISCOVERY_VARIABLE: &str = "ROUTER_DISCOVERY";
 
-/// Fraction of a server's idle timeout after which this side closes a pooled connection. A request that is
-/// written to a connection while the server closes the connection would be lost as a reset.
+/// Fraction of a server's idle timeout after which the limiter closes a pooled connection. If a request were
+/// written while the server closes the connection, the request would be lost to a reset.
 const IDLE_FRACTION: f64 = 0.5;
 
-/// The configuration in the program's terms.
+/// The validated configuration of the program.
 pub struct Config {
     /// Name of this limiter.
     pub name: String,
@@ -58,10 +59,11 @@
     pub max_client_connections: usize,
     /// Highest number of open connections to servers.
     pub max_server_connections: usize,
-    /// Highest number of bytes that are read ahead for all clients together, beyond the bytes that each
-    /// connection may hold in any case.
+    /// Highest number of bytes that are read ahead for all clients together, beyond the amount that each
+    /// connection may always hold.
     pub max_read_ahead_bytes: usize,
-    /// Address on which gossip of other limiters arrives.
+    /// Address on which this limiter receives gossip. Without an address, the limiter neither sends nor
+    /// receives gossip.
     pub peer_listen: Option<SocketAddr>,
     /// Gossip addresses of all limiters by position, including this one.
     pub peers: Vec<SocketAddr>,
@@ -71,7 +73,7 @@
     pub server_connection_idle_ms: Millis,
     /// Time in milliseconds for which requests are accepted after SIGTERM.
     pub shutdown_accept_ms: Millis,
-    /// Time in milliseconds after SIGTERM at which all accepted requests have their final response.
+    /// Time in milliseconds after SIGTERM by which all accepted requests have received their final response.
     pub shutdown_response_ms: Millis,
     /// Highest number of quota units that one request may cost.
     pub max_request_units: f64,
@@ -82,7 +84,7 @@
 }
 
 impl Config {
-    /// Reads the environment and the file at the start.
+    /// Reads the environment and the file at startup.
     ///
     /// # Errors
     /// [`ConfigError`] names the first value that is missing or cannot be used.
@@ -92,8 +94,8 @@
         })
     }
 
-    /// Reads the file again, once. `ROUTER_DISCOVERY` applies to the start only, so that the file can name
-    /// another address of discovery; a file without an address of discovery is an error here.
+    /// Reads the environment and the file again, once. `ROUTER_DISCOVERY` is ignored, so that the file can
+    /// name another address of discovery; a file without an address of discovery is therefore an error here.
     ///
     /// # Errors
     /// [`ConfigError`] names the first value that is missing or cannot be used.
@@ -111,12 +113,13 @@
         Config::from_file(file, &Lookup { variable, path: &path })
     }
 
-    /// Validates the values of the file, and those that override them.
+    /// Validates the values of the file and the variables that override them.
     fn from_file(file: ConfigFile, lookup: &Lookup) -> Result<Config, ConfigError> {
         let path = lookup.path;
-        let name = lookup.text(NAME_VARIABLE, "name", file.name)?.value;
-        let listen = lookup.text(LISTEN_VARIABLE, "listen", file.listen)?.address()?;
-        let discovery = lookup.text(DISCOVERY_VARIABLE, "discovery", file.discovery)?.address()?;
+        let name = lookup.find_value(NAME_VARIABLE, "name", file.name)?.value;
+        let listen = lookup.find_value(LISTEN_VARIABLE, "listen", file.listen)?.parse_address()?;
+        let discovery =
+            lookup.find_value(DISCOVERY_VARIABLE, "discovery", file.discovery)?.parse_address()?;
         let seed = parse_seed(path, file.seed.as_deref())?;
         let site = SiteSettings::new(&file.settings);
         let server_connection_idle_ms = connection_idle_ms(path, site.server_idle_ms)?;
@@ -147,7 +150,7 @@
     }
 }
 
-/// Returns the value of an environment variable. An empty variable counts as absent.
+/// Returns the value of an environment variable. An empty variable is treated as absent.
 fn environment_variable(name: &str) -> Option<String> {
     std::env::var(name).ok().filter(|value| !value.is_empty())
 }
@@ -159,15 +162,15 @@
     serde_json::from_str(&text).map_err(malformed)
 }
 
-/// Parses the hexadecimal seed of the file. Without a seed, processes differ by their process ids.
+/// Parses the hexadecimal seed of the file. Without a seed, the process id is used, so that processes differ.
 fn parse_seed(path: &str, hex: Option<&str>) -> Result<u64, ConfigError> {
     let Some(hex) = hex else { return Ok(u64::from(std::process::id())) };
     let invalid = |_| ConfigError::InvalidSeed { path: path.to_string(), value: hex.to_string() };
     u64::from_str_radix(hex, 16).map_err(invalid)
 }
 
-/// Returns the time in milliseconds after which this side closes an idle connection to a server that closes
-/// the connection after `server_idle_ms`.
+/// Returns the time in milliseconds after which the limiter closes an idle connection to a server whose own
+/// idle timeout is `server_idle_ms`.
 fn connection_idle_ms(path: &str, server_idle_ms: Millis) -> Result<Millis, ConfigError> {
     if !server_idle_ms.is_finite() || server_idle_ms < 0.0 {
         return Err(ConfigError::InvalidIdleTime { path: path.to_string(), value: server_idle_ms });
@@ -181,8 +184,8 @@
     })
 }
 
-/// Parses the endpoint list of the configuration. A list that cannot be parsed counts as absent, because
-/// discovery announces the complete list.
+/// Parses the endpoint list of the configuration. An invalid list is ignored, because discovery announces the
+/// complete list.
 fn parse_known_endpoints(list: serde_json::Value) -> Option<EndpointList> {
     serde_json::from_value(list).ok()
 }
--- a/limiter/src/config/shutdown.rs
+++ b/limiter/src/config/shutdown.rs
@@ -2,12 +2,12 @@
 
 use limiter_core::{Millis, RequestClass};
 
-/// Longest deadline of a client in milliseconds, as the platform counts deadlines. The platform sends SIGKILL
-/// no sooner after SIGTERM than the longest deadline plus [`KILL_DELAY_MS`].
+/// Longest deadline of a client in milliseconds that the platform takes into account. The platform sends
+/// SIGKILL no sooner after SIGTERM than the longest deadline plus [`KILL_DELAY_MS`].
 pub const MAX_CLIENT_DEADLINE_MS: Millis = 3000.0;
-/// Shortest time in milliseconds from the longest deadline to SIGKILL.
+/// Shortest time in milliseconds between the longest deadline and SIGKILL.
 const KILL_DELAY_MS: Millis = 700.0;
-/// Time in milliseconds that is left between the last response and SIGKILL.
+/// Safety margin in milliseconds between the last response and SIGKILL.
 const KILL_MARGIN_MS: Millis = 300.0;
 /// Shortest time in milliseconds for which requests are accepted, because clients open new connections for
 /// 400 ms after SIGTERM.
@@ -19,7 +19,7 @@
     /// When the connections are shut down. All requests are accepted until this time, and new connections for
     /// a short time longer.
     pub accept_ms: Millis,
-    /// When all accepted requests have their final response.
+    /// By when all accepted requests have received their final response.
     pub response_ms: Millis,
 }
 
--- a/limiter/src/config/site.rs
+++ b/limiter/src/config/site.rs
@@ -7,7 +7,7 @@
 
 /// Idle timeout of servers in milliseconds if the settings name none.
 const DEFAULT_SERVER_IDLE_MS: Millis = 10_000.0;
-/// Highest number of quota units of a request if the settings name none.
+/// Highest number of quota units that one request may cost if the settings name none.
 const DEFAULT_MAX_REQUEST_UNITS: f64 = 1000.0;
 
 /// The settings of the file that the program uses beyond [`limiter_core::Settings`].
@@ -17,12 +17,12 @@
     pub server_idle_ms: Millis,
     /// Highest number of quota units that one request may cost.
     pub max_request_units: f64,
-    /// Longest time in milliseconds that a client waits, as the platform counts deadlines.
+    /// Longest time in milliseconds that a client waits, at most [`MAX_CLIENT_DEADLINE_MS`].
     pub max_deadline_ms: Millis,
 }
 
 impl SiteSettings {
-    /// Returns the values of the settings, or the defaults.
+    /// Returns the values from the settings of the file, or the defaults for absent ones.
     pub fn new(settings: &InstanceSettings) -> SiteSettings {
         SiteSettings {
             server_idle_ms: settings.capabilities.server_idle_timeout_ms.unwrap_or(DEFAULT_SERVER_IDLE_MS),
@@ -32,7 +32,7 @@
     }
 }
 
-/// Returns the longest deadline of the classes in milliseconds, as the platform counts deadlines.
+/// Returns the longest deadline of the classes in milliseconds, at most [`MAX_CLIENT_DEADLINE_MS`].
 fn max_deadline_ms(settings: &InstanceSettings) -> Millis {
     let mut max_deadline_ms: Millis = 0.0;
     for class in &settings.classes {
