--- a/limiter/src/net/datagram.rs
+++ b/limiter/src/net/datagram.rs
@@ -23,8 +23,8 @@
         Ok(DatagramSocket { socket: UdpSocket::from_std(socket)? })
     }
 
-    /// Receives the next datagram; the part that does not fit into the buffer is dropped. Returns its length
-    /// and sender. Cancelling loses no datagram.
+    /// Receives the next datagram, and returns its length and sender. The part that does not fit into the
+    /// buffer is dropped. Cancelling loses no datagram.
     ///
     /// # Errors
     /// Those of `recvfrom(2)`, except for interruptions.
@@ -38,20 +38,21 @@
         }
     }
 
-    /// Sends a datagram, if the socket's buffer has space for it.
+    /// Sends a datagram without waiting.
     ///
     /// # Errors
-    /// Those of `sendto(2)`, except for interruptions.
+    /// `WouldBlock` if the send buffer of the socket has no space for the datagram; otherwise those of
+    /// `sendto(2)`, except for interruptions.
     pub fn try_send_to(&self, data: &[u8], to: SocketAddr) -> io::Result<()> {
         retry_on_interrupt(|| self.socket.try_send_to(data, to))?;
         Ok(())
     }
 }
 
-/// A datagram whose data is in the buffer that was passed for it.
+/// A datagram whose data is in the buffer that was passed to [`DatagramSocket::receive_from`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ReceivedDatagram {
-    /// Number of bytes in the buffer.
+    /// Number of bytes that were written to the buffer.
     pub length: usize,
     /// Address of the sender.
     pub sender: SocketAddr,
--- a/limiter/src/net/errors.rs
+++ b/limiter/src/net/errors.rs
@@ -2,14 +2,15 @@
 
 use std::io;
 
-/// Errors that say that this host's descriptors or memory are exhausted. They pass.
+/// Errors which mean that this host's descriptors or memory are exhausted. They are transient.
 const RESOURCE_EXHAUSTION: [i32; 4] = [libc::ENOMEM, libc::ENFILE, libc::EMFILE, libc::ENOBUFS];
 
-/// Errors of a connect that say that this host has no free port, or no route.
+/// Errors of a connect which mean that this host has no free port or no route.
 const NO_PORT_OR_ROUTE: [i32; 2] = [libc::EADDRNOTAVAIL, libc::ENETUNREACH];
 
-/// Errors of an accept that belong to a connection which has already failed, by `accept(2)`: the next
-/// connection can be accepted at once. After any other error, connections remain in the accept queue.
+/// Errors of an accept which, according to `accept(2)`, belong to a connection that has already failed. The
+/// next connection can be accepted immediately. After any other error, connections remain in the accept
+/// queue.
 const FAILED_CONNECTION: [i32; 11] = [
     libc::EINTR,
     libc::EPROTO,
@@ -32,8 +33,8 @@
     is_one_of(error, &RESOURCE_EXHAUSTION)
 }
 
-/// Returns whether a connect failed on this host, which says nothing about the server. EHOSTUNREACH and
-/// ETIMEDOUT, on the contrary, say that the server's host is unreachable.
+/// Returns whether a connect failed for a reason on this host, which says nothing about the server. In
+/// contrast, EHOSTUNREACH and ETIMEDOUT mean that the host of the server is unreachable.
 pub fn is_local_failure(error: &io::Error) -> bool {
     is_resource_exhaustion(error) || is_one_of(error, &NO_PORT_OR_ROUTE)
 }
@@ -48,7 +49,7 @@
     is_one_of(error, &CONNECT_IN_PROGRESS)
 }
 
-/// Returns whether an error has one of these numbers.
+/// Returns whether an error has one of these error numbers.
 fn is_one_of(error: &io::Error, numbers: &[i32]) -> bool {
     error.raw_os_error().is_some_and(|number| numbers.contains(&number))
 }
--- a/limiter/src/net/listener.rs
+++ b/limiter/src/net/listener.rs
@@ -16,8 +16,8 @@
 }
 
 impl Listener {
-    /// Listens on an address. Up to `queue_length` connections may wait in the accept queue, as far as the
-    /// system allows.
+    /// Listens on an address. Up to `queue_length` connections may wait in the accept queue, or fewer if the
+    /// system has a lower limit.
     ///
     /// # Errors
     /// Those of `socket(2)`, `bind(2)` and `listen(2)`.
@@ -38,7 +38,8 @@
         self.socket.local_addr()
     }
 
-    /// Accepts the next connection. Pending once the accept queue was seen empty.
+    /// Accepts the next connection. Returns `Poll::Pending` once an accept has found the queue empty, until
+    /// the I/O driver reports another connection.
     ///
     /// # Errors
     /// The reason why this host cannot accept the connection, which stays in the accept queue.
@@ -52,8 +53,8 @@
         }
     }
 
-    /// Accepts a connection that waits in the accept queue; returns `None` if the queue is empty. Makes the
-    /// system call whether or not tokio considers the socket ready.
+    /// Accepts a connection that waits in the accept queue, or returns `None` if the queue is empty. Makes
+    /// the system call regardless of whether tokio considers the socket ready.
     ///
     /// # Errors
     /// The reason why this host cannot accept the connection, which stays in the accept queue.
--- a/limiter/src/net/mod.rs
+++ b/limiter/src/net/mod.rs
@@ -1,9 +1,10 @@
-//! Sockets that handle everything that system calls may do by Linux's documentation.
+//! Sockets that tolerate short and interrupted system calls, as Linux documents them.
 //!
-//! The sockets of tokio assume after a read or write which transfers less than its buffer that the socket is
-//! drained or full, and wait until the system reports it as ready once more. A transfer may be short for
-//! other reasons, and then that report never arrives. They also return interruptions (EINTR) as errors. The
-//! sockets here count as ready until a call says that it would block, and repeat a call that was interrupted.
+//! When a read or write of a tokio socket transfers fewer bytes than its buffer holds, tokio assumes that the
+//! socket is drained or full, and waits until the system reports it as ready again. A transfer may be short
+//! for other reasons, and that report then never arrives. The sockets of tokio also return interruptions
+//! (EINTR) as errors. The sockets in this module are treated as ready until a call would block, and repeat
+//! interrupted calls.
 //!
 //! Modules, in the order in which to read them; each one uses only those listed after it:
 //!
@@ -12,7 +13,7 @@
 //! | [`listener`] | accepts TCP connections |
 //! | [`stream`] | a TCP connection |
 //! | [`datagram`] | a UDP socket |
-//! | [`retry`] | repeats calls that were interrupted, or failed because resources were exhausted |
+//! | [`retry`] | retries system calls after interruptions or while resources are exhausted |
 //! | [`errors`] | classifies the errors of system calls |
 
 mod datagram;
--- a/limiter/src/net/stream.rs
+++ b/limiter/src/net/stream.rs
@@ -14,21 +14,21 @@
 use super::errors::is_connect_in_progress;
 use super::retry::retry_on_interrupt;
 
-/// Most bytes that are read from one connection without a pause, in which other tasks run. This is the length
-/// of the longest body.
-const MAX_BYTES_WITHOUT_PAUSE: usize = 64 << 10;
+/// Number of bytes that may be read from one connection before the task yields to other tasks. This is the
+/// length of the longest body.
+const MAX_BYTES_BEFORE_YIELD: usize = 64 << 10;
 
 /// A TCP connection.
 pub struct Stream {
     socket: TcpStream,
-    /// Number of bytes read since the last pause.
-    bytes_since_pause: usize,
+    /// Number of bytes read since the task last yielded or had nothing to read.
+    bytes_since_yield: usize,
 }
 
 impl Stream {
     /// Wraps a connected socket.
     pub(super) fn new(socket: TcpStream) -> Stream {
-        Stream { socket, bytes_since_pause: 0 }
+        Stream { socket, bytes_since_yield: 0 }
     }
 
     /// Connects to an address. Cancelling abandons the connect and closes the socket.
@@ -44,9 +44,9 @@
         Ok(stream)
     }
 
-    /// Makes the system send small writes at once.
+    /// Makes the system send small writes immediately.
     pub fn set_nodelay(&self) {
-        // If this fails, small writes are only sent later.
+        // If this fails, small writes are merely delayed.
         let _ = self.socket.set_nodelay(true);
     }
 
@@ -58,11 +58,11 @@
         retry_on_interrupt(|| (&*SockRef::from(&self.socket)).read(buffer))
     }
 
-    /// Makes a call that reads, and repeats it each time that the socket is ready until the call does not
-    /// block.
+    /// Makes a call that reads, and repeats the call whenever the socket becomes ready, until the call no
+    /// longer returns `WouldBlock`.
     ///
-    /// The first call is made whether or not tokio considers the socket ready: after a stall of the process,
-    /// tasks may run before the I/O driver has notified tokio of what arrived during the stall.
+    /// The first call is made regardless of whether tokio considers the socket ready: after a stall of the
+    /// process, tasks may run before the I/O driver has reported the input that arrived during the stall.
     fn poll_read_call<R>(
         &self,
         cx: &mut Context<'_>,
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Makes a call that writes each time that the socket is ready, until the call does not block.
+    /// Makes a call that writes whenever the socket is ready, until the call no longer returns `WouldBlock`.
     fn poll_write_call<R>(
         &self,
         cx: &mut Context<'_>,
@@ -96,14 +96,15 @@
         }
     }
 
-    /// Makes a call on the socket itself. tokio considers the socket ready until the call would block.
+    /// Makes a call on the underlying socket. tokio considers the socket ready until a call returns
+    /// `WouldBlock`.
     fn call<R>(&self, interest: Interest, call: &mut impl FnMut(&Socket) -> io::Result<R>) -> io::Result<R> {
         self.socket.try_io(interest, || retry_on_interrupt(|| call(&SockRef::from(&self.socket))))
     }
 }
 
-/// Begins to connect. A connect that is interrupted continues in the background; the repeated call then says
-/// that it is in progress or has succeeded.
+/// Begins to connect. An interrupted connect continues in the background, and the repeated call reports that
+/// the connect is in progress or has succeeded.
 fn begin_connect(socket: &Socket, address: SocketAddr) -> io::Result<()> {
     match retry_on_interrupt(|| socket.connect(&address.into())) {
         Err(error) if is_connect_in_progress(&error) => Ok(()),
@@ -131,17 +132,17 @@
         cx: &mut Context<'_>,
         buffer: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        if self.bytes_since_pause > MAX_BYTES_WITHOUT_PAUSE {
-            // A peer that sends without end must not delay other tasks: the I/O driver runs before this task
+        if self.bytes_since_yield > MAX_BYTES_BEFORE_YIELD {
+            // A peer that sends continuously must not delay other tasks. The I/O driver runs before this task
             // continues.
-            self.bytes_since_pause = 0;
+            self.bytes_since_yield = 0;
             let _ = pin!(yield_now()).poll(cx);
             return Poll::Pending;
         }
         let read = self.poll_read_call(cx, |mut socket| socket.read(buffer.initialize_unfilled()));
         match &read {
-            Poll::Ready(Ok(length)) => self.bytes_since_pause += length,
-            _ => self.bytes_since_pause = 0,
+            Poll::Ready(Ok(length)) => self.bytes_since_yield += length,
+            _ => self.bytes_since_yield = 0,
         }
         read.map_ok(|length| buffer.advance(length))
     }
