--- a/limiter/src/gossip.rs
+++ b/limiter/src/gossip.rs
@@ -9,29 +9,30 @@
 use crate::engine::{Engine, GossipTransport};
 use crate::net::DatagramSocket;
 
-/// Longest datagram that is sent or accepted, in bytes; at least the longest message of the core.
+/// Longest datagram that is sent or accepted, in bytes. Gossip messages of the core are not longer.
 const MAX_DATAGRAM_BYTES: usize = 256;
 /// Pause after an error of the socket, so that a persistent error does not occupy the processor.
 const ERROR_PAUSE: Duration = Duration::from_millis(1);
 
 /// Sends gossip to the other limiters.
 pub struct GossipSender {
-    /// `None` if the configuration names no address for gossip.
+    /// `None` if the configuration has no address for gossip.
     socket: Option<Rc<DatagramSocket>>,
     /// Addresses of the limiters by position.
     peers: Vec<SocketAddr>,
 }
 
 impl GossipSender {
-    /// Creates a sender that sends through `socket`, or sends nothing without one. `peers` are the addresses
-    /// of the limiters by position.
+    /// Creates a sender that sends through `socket`, or that discards all messages if there is no socket.
+    /// `peers` are the addresses of the limiters by position.
     pub fn new(socket: Option<Rc<DatagramSocket>>, peers: Vec<SocketAddr>) -> GossipSender {
         GossipSender { socket, peers }
     }
 }
 
 impl GossipTransport for GossipSender {
-    /// Sends a datagram, which is lost if the socket's buffer is full: any datagram may be lost on its way.
+    /// Sends a datagram. The datagram is dropped if the socket's buffer is full, because any datagram may be
+    /// lost in transit as well.
     fn send(&self, to: u32, body: &[u8]) {
         let Some(socket) = &self.socket else { return };
         let Some(address) = self.peers.get(to as usize) else { return };
@@ -41,11 +42,11 @@
     }
 }
 
-/// Passes the datagrams of peers to the core, forever. Ignores unknown senders and oversized datagrams.
+/// Passes the datagrams of peers to the core. Ignores unknown senders and oversized datagrams. Never returns.
 ///
 /// Cancelling loses the datagrams that have not been received yet.
 pub async fn receive(engine: Rc<Engine>, socket: Rc<DatagramSocket>) {
-    // One byte more than the longest datagram, so that a longer one is recognized.
+    // One byte more than the longest datagram, so that an oversized datagram is detected.
     let mut buffer = [0u8; MAX_DATAGRAM_BYTES + 1];
     loop {
         match socket.receive_from(&mut buffer).await {
@@ -57,7 +58,7 @@
                 }
             }
             Ok(_) => {}
-            // An unreachable peer causes an error of the next receive. No datagram is lost by it.
+            // An unreachable peer makes the next receive fail. This loses no datagram.
             Err(_) => tokio::time::sleep(ERROR_PAUSE).await,
         }
     }
--- a/limiter/src/main.rs
+++ b/limiter/src/main.rs
@@ -1,9 +1,9 @@
 //! The limiter: the program that connects the decisions of `limiter-core` to sockets.
 //!
-//! This file has the start, the wiring of the parts, and the exit code. The parts depend on each other one
-//! way:
+//! This file contains the startup, the wiring of the modules, and the exit code. The modules depend on each
+//! other in one direction only:
 //!
-//! - [`frontend`], [`discovery`], [`upstream`] and [`gossip`] use the [`engine`], and not each other.
+//! - [`frontend`], [`discovery`], [`upstream`] and [`gossip`] use the [`engine`], but not each other.
 //! - The engine uses them through the traits in `engine/ports.rs` only.
 //! - [`reload`] changes the address that [`discovery`] watches.
 //! - All of them use [`config`], [`endpoints`], [`messages`], [`runtime`], [`observability`] and [`net`].
@@ -41,15 +41,15 @@
 use runtime::signals::{SignalError, Signals};
 use upstream::Servers;
 
-/// Highest number of connections that wait to be accepted, as far as the system allows. Beyond this number
-/// the first packets of a connection are dropped and sent again after 1 s. A process that stalls for a moment
-/// must not cost its clients that second.
-const ACCEPT_QUEUE: i32 = 1024;
+/// Highest number of connections that wait to be accepted; the system may impose a lower limit. When the
+/// queue is full, the first packets of a further connection are dropped, and retransmitted after 1 s. A short
+/// stall of the process must not delay its clients by that second.
+const ACCEPT_QUEUE_LENGTH: i32 = 1024;
 
 /// Why the limiter could not start.
 #[derive(Debug, thiserror::Error)]
 enum StartError {
-    #[error("cannot start: {0}")]
+    #[error("cannot start the async runtime: {0}")]
     Runtime(io::Error),
     #[error(transparent)]
     Signal(#[from] SignalError),
@@ -57,9 +57,9 @@
     Config(#[from] ConfigError),
     #[error("cannot listen on {address}: {error}")]
     Listen { address: SocketAddr, error: io::Error },
-    #[error("peer_listen {address}: {error}")]
+    #[error("cannot bind peer_listen {address}: {error}")]
     Gossip { address: SocketAddr, error: io::Error },
-    #[error("no address: {0}")]
+    #[error("cannot determine the listening address: {0}")]
     LocalAddress(io::Error),
     #[error("settings: {0}")]
     Settings(#[from] SettingsError),
@@ -81,9 +81,10 @@
     retry_on_resource_exhaustion(build).map_err(StartError::Runtime)
 }
 
-/// Serves until SIGTERM or SIGINT, and finishes the accepted requests.
+/// Serves until SIGTERM or SIGINT, and completes the accepted requests.
 async fn run() -> Result<(), StartError> {
-    // The signal handlers are installed first, because SIGHUP ends a process that has no handler for it.
+    // The signal handlers are installed first, because SIGHUP terminates a process that has no handler for
+    // it.
     let signals = Rc::new(Signals::install()?);
     let config = Config::from_environment()?;
     let _log = logging::start(config.name.clone());
@@ -99,13 +100,13 @@
         spawn_local(gossip::receive(engine.clone(), socket));
     }
     spawn_tasks(&engine, servers, watch_target, &signals);
-    frontend::serve(&engine, listener, signals.stop_requested()).await;
+    frontend::serve(&engine, listener, signals.shutdown_requested()).await;
     engine.finish_shutdown();
     Ok(())
 }
 
-/// Starts the tasks that run as long as the process. The watch on discovery starts before the task that
-/// reloads the configuration, so that the first source is always watched.
+/// Spawns the tasks that run for the lifetime of the process. The watch on discovery starts before the task
+/// that reloads the configuration, so that the first source is always watched.
 fn spawn_tasks(
     engine: &Rc<Engine>,
     servers: Rc<Servers>,
@@ -125,13 +126,13 @@
 /// Logs all counters on each SIGUSR1.
 async fn log_counters_on_request(signals: Rc<Signals>, engine: Rc<Engine>) {
     loop {
-        signals.report_requested().await;
+        signals.counter_log_requested().await;
         engine.log_counters();
     }
 }
 
 fn listen(address: SocketAddr) -> Result<Listener, StartError> {
-    retry_on_resource_exhaustion(|| Listener::bind(address, ACCEPT_QUEUE))
+    retry_on_resource_exhaustion(|| Listener::bind(address, ACCEPT_QUEUE_LENGTH))
         .map_err(|error| StartError::Listen { address, error })
 }
 
--- a/limiter/src/reload.rs
+++ b/limiter/src/reload.rs
@@ -9,11 +9,11 @@
 use crate::discovery::WatchTarget;
 use crate::runtime::signals::Signals;
 
-/// Time for which an unreadable file is read again: system calls fail for a moment, and a file may be read
-/// while it is being written. What the new discovery knows counts as announced 4 s after the signal; the rest
-/// of that time is for the first watch.
+/// Time for which reading the file is retried: system calls may fail temporarily, and a file may be read
+/// while it is being written. A limiter is expected to know the endpoint list of the new discovery 4 s after
+/// the signal; the rest of that time is for the first watch.
 const MAX_RETRY_TIME: Duration = Duration::from_secs(3);
-/// Pause between two attempts to read the file.
+/// Delay between two attempts to read the file.
 const RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// Reads the configuration again on each SIGHUP. A configuration that cannot be used changes nothing. Never
@@ -39,7 +39,7 @@
     }
 }
 
-/// Reads the configuration, for up to [`MAX_RETRY_TIME`] while the file cannot be read or parsed.
+/// Reads the configuration. Retries for up to [`MAX_RETRY_TIME`] while the file cannot be read or parsed.
 async fn read_configuration() -> Result<Config, ConfigError> {
     let began = Instant::now();
     let mut is_retry = false;
--- a/limiter/src/runtime/arrival.rs
+++ b/limiter/src/runtime/arrival.rs
@@ -1,28 +1,28 @@
-//! Estimates of when bytes that are being read reached this host.
+//! Estimates when the bytes that are being read reached this host.
 //!
-//! A client's time counts from the arrival of its request, whenever the request is read. The system does not
-//! report when it received the bytes; it is only known that they had not arrived when the event loop last
-//! ran. The time in between is the possible wait. It is subtracted from the deadline that servers are given,
-//! because a server must not be given more time than the client has left. It is no reason to abandon a
-//! request.
+//! The timeout of a client begins with the arrival of its request, regardless of when the request is read.
+//! The system does not report when the bytes arrived; it is only known that they had not arrived when the
+//! event loop last ran. The time between that iteration and the read is the possible wait. The possible wait
+//! is subtracted from the deadline that servers receive, because a server must not be given more time than
+//! the client has left. A request is not abandoned because of its possible wait.
 
 use std::cell::Cell;
 use std::time::{Duration, Instant};
 
-/// Longest time between two iterations of the event loop in a process that is not stalled. The periodic
-/// control step of the core wakes the event loop every 100 ms; the rest allows for the delay of a timer on a
-/// busy host. The control steps begin with the first event of the core, so that a longer time from the start
-/// of the process to that event counts as a stall, too. Bytes that are read after a longer time may have
-/// arrived at any moment since the last iteration.
+/// Longest time between two iterations of the event loop that is not treated as a stall. The periodic control
+/// step of the core wakes the event loop every 100 ms; the rest allows for the delay of a timer on a busy
+/// host. The control steps begin with the first event of the core, so a longer time from the start of the
+/// process to that event is treated as a stall, too. Bytes that are read after a stall may have arrived at
+/// any time since the last iteration before the stall.
 const MAX_ITERATION_INTERVAL: Duration = Duration::from_millis(120);
-/// Time after a stall in which everything that arrived during the stall is read, counted from the first
-/// iteration after the stall.
+/// Time within which everything that arrived during a stall is read, counted from the first iteration after
+/// the stall.
 const CATCH_UP_TIME: Duration = Duration::from_millis(60);
 
-/// When bytes arrived.
+/// The time of arrival of bytes, as an interval.
 #[derive(Debug, Clone, Copy)]
 pub struct Arrival {
-    /// When the bytes were read. They had arrived by this time.
+    /// When the bytes were read; the latest time at which the bytes may have arrived.
     pub read_at: Instant,
     /// The earliest time at which the bytes may have arrived.
     pub earliest: Instant,
@@ -50,7 +50,7 @@
     resumed_at: Instant,
 }
 
-/// Detects stalls of the process, and estimates since when bytes may have waited in the kernel.
+/// Detects stalls of the process, and estimates how long bytes may have waited in the kernel.
 pub struct ArrivalClock {
     last_iteration: Cell<Instant>,
     last_stall: Cell<Option<Stall>>,
--- a/limiter/src/runtime/duration.rs
+++ b/limiter/src/runtime/duration.rs
@@ -1,16 +1,16 @@
-//! Conversion between durations and the milliseconds of settings and decisions.
+//! Conversion between durations and the milliseconds of the settings and the core.
 
 use std::time::Duration;
 
 use limiter_core::Millis;
 
-/// Longest duration in seconds, about thirty years. Longer ones are cut to it, so that no clock of the
-/// program overflows.
+/// Longest duration in seconds, about thirty years. Longer durations are clamped to this value, so that no
+/// clock of the program overflows.
 const MAX_S: f64 = 1e9;
 /// Milliseconds in a second.
 const MILLIS_PER_SECOND: f64 = 1000.0;
 
-/// Returns the duration of `ms` milliseconds. A negative number gives a duration of zero.
+/// Returns the duration of `ms` milliseconds, or zero if `ms` is negative.
 ///
 /// # Panics
 /// If `ms` is not a number (NaN).
--- a/limiter/src/runtime/event_loop.rs
+++ b/limiter/src/runtime/event_loop.rs
@@ -1,11 +1,11 @@
-//! Iterations of the event loop in which pending input is read.
+//! Runs the event loop until pending input has been read.
 
-/// Number of yields to the I/O driver in which everything that has arrived on a few connections is read. The
-/// first yields report the sockets as ready; the tasks that this wakes accept, read and pass on what they
-/// read during the next ones.
+/// Number of yields to the I/O driver within which everything that has arrived on a few connections is read.
+/// During the first yields, the driver reports the sockets as ready; during the next ones, the tasks that
+/// this wakes accept connections, read, and pass on what they read.
 const MIN_YIELDS: usize = 4;
-/// Number of connections for which one more yield is made. A yield runs the I/O driver once, and at most 61
-/// tasks that it has woken (tokio's event interval).
+/// Number of connections for which one more yield is made. During a yield, the I/O driver runs once, and at
+/// most 61 of the tasks that the driver has woken run (tokio's event interval).
 const CONNECTIONS_PER_YIELD: usize = 16;
 
 /// Yields to the I/O driver until the tasks of `num_connections` connections have read everything that has
--- a/limiter/src/runtime/signals.rs
+++ b/limiter/src/runtime/signals.rs
@@ -15,25 +15,25 @@
 
 use crate::net::retry_on_resource_exhaustion;
 
-/// Longest time until a signal is noticed whose wake-up was lost: the handler cannot repeat a write that
-/// fails.
+/// Longest time until the program notices a signal whose wake-up was lost. A wake-up is lost if the write of
+/// the signal handler fails, because the handler cannot repeat the write.
 const RECHECK_INTERVAL: Duration = Duration::from_millis(250);
-/// Number of wake-up bytes that are read at once. Each signal writes one byte. Bytes that remain wake the
-/// task up again.
+/// Number of wake-up bytes that one call reads. Each signal writes one byte. Bytes that remain wake the task
+/// again.
 const WAKE_UP_BYTES: usize = 64;
 
-/// A signal whose handler sets a flag, which the program takes.
+/// A signal whose handler sets a flag, which the program reads and clears.
 struct SignalFlag {
     name: &'static str,
     is_set: Arc<AtomicBool>,
 }
 
 impl SignalFlag {
-    /// Installs handlers that set the flag and write a byte to `wake_up`.
+    /// Installs two handlers for the signal: one sets the flag, the other writes a byte to `wake_up`.
     fn register(name: &'static str, signal: i32, wake_up: &StdUnixStream) -> Result<SignalFlag, SignalError> {
         let failed = |error| SignalError { name, error };
         let is_set = Arc::new(AtomicBool::new(false));
-        // Handlers run in the order in which they were registered, so that the flag is set before the program
+        // Handlers run in the order in which they were registered, so the flag is set before the program
         // wakes up.
         flag::register(signal, is_set.clone()).map_err(failed)?;
         pipe::register(signal, wake_up.try_clone().map_err(failed)?).map_err(failed)?;
@@ -48,9 +48,9 @@
 
 /// The handler of a signal could not be installed.
 #[derive(Debug, thiserror::Error)]
-#[error("{name}: {error}")]
+#[error("cannot install the handler of {name}: {error}")]
 pub struct SignalError {
-    /// Name of the signal.
+    /// Name of the signal, or `signals` if the error concerns all of them.
     name: &'static str,
     /// The error of the system.
     error: io::Error,
@@ -58,26 +58,26 @@
 
 /// The signals that the program handles.
 ///
-/// The program does not use tokio's signal driver, which panics if the read that clears its wake-ups is
-/// interrupted, and misses a signal whose wake-up was lost.
+/// The program does not use the signal driver of tokio: that driver panics if the read that clears its
+/// wake-ups is interrupted, and misses a signal whose wake-up was lost.
 pub struct Signals {
     wake_ups: UnixStream,
     hangup: SignalFlag,
     terminate: SignalFlag,
     interrupt: SignalFlag,
-    user: SignalFlag,
+    user_defined_1: SignalFlag,
     reload: Notify,
-    report: Notify,
-    stop: Notify,
-    /// Name of the signal that requested the stop; empty before.
-    stopped_by: Cell<&'static str>,
+    counter_log: Notify,
+    shutdown: Notify,
+    /// Name of the signal that requested the shutdown; empty before such a signal.
+    shutdown_signal: Cell<&'static str>,
 }
 
 impl Signals {
     /// Installs the handlers. Must be called within the runtime.
     ///
     /// # Errors
-    /// [`SignalError`] if the system does not allow it.
+    /// [`SignalError`] if the sockets for the wake-ups cannot be created or a handler cannot be installed.
     pub fn install() -> Result<Signals, SignalError> {
         let failed = |error| SignalError { name: "signals", error };
         let (receiver, sender) = retry_on_resource_exhaustion(StdUnixStream::pair).map_err(failed)?;
@@ -87,11 +87,11 @@
             hangup: SignalFlag::register("SIGHUP", SIGHUP, &sender)?,
             terminate: SignalFlag::register("SIGTERM", SIGTERM, &sender)?,
             interrupt: SignalFlag::register("SIGINT", SIGINT, &sender)?,
-            user: SignalFlag::register("SIGUSR1", SIGUSR1, &sender)?,
+            user_defined_1: SignalFlag::register("SIGUSR1", SIGUSR1, &sender)?,
             reload: Notify::new(),
-            report: Notify::new(),
-            stop: Notify::new(),
-            stopped_by: Cell::new(""),
+            counter_log: Notify::new(),
+            shutdown: Notify::new(),
+            shutdown_signal: Cell::new(""),
         })
     }
 
@@ -108,41 +108,42 @@
         if self.hangup.take() {
             self.reload.notify_one();
         }
-        if self.user.take() {
-            self.report.notify_one();
+        if self.user_defined_1.take() {
+            self.counter_log.notify_one();
         }
         for signal in [&self.terminate, &self.interrupt] {
             if signal.take() {
-                self.stopped_by.set(signal.name);
-                self.stop.notify_one();
+                self.shutdown_signal.set(signal.name);
+                self.shutdown.notify_one();
             }
         }
     }
 
-    /// Waits for a wake-up of a signal handler, and reads it. Cancelling loses no signal: the flags show
-    /// which signals have arrived.
+    /// Waits for a wake-up from a signal handler, and reads the wake-up. Cancelling loses no signal: the
+    /// flags show which signals have arrived.
     ///
     /// # Errors
-    /// The wake-up could not be read.
+    /// Those of the read of the wake-up.
     async fn wait_for_wake_up(&self) -> io::Result<()> {
         self.wake_ups.readable().await?;
         self.wake_ups.try_read(&mut [0; WAKE_UP_BYTES]).map(|_| ())
     }
 
-    /// Waits for SIGHUP. Several signals that arrived since the last wait count as one. Cancelling loses no
-    /// signal.
+    /// Waits for SIGHUP, which requests a reload of the configuration. Several signals that arrived since the
+    /// last wait complete only one wait. Cancelling loses no signal.
     pub async fn reload_requested(&self) {
         self.reload.notified().await;
     }
 
-    /// Waits for SIGUSR1, which requests that the counters are logged. Cancelling loses no signal.
-    pub async fn report_requested(&self) {
-        self.report.notified().await;
+    /// Waits for SIGUSR1, which requests a log of the counters. Cancelling loses no signal.
+    pub async fn counter_log_requested(&self) {
+        self.counter_log.notified().await;
     }
 
-    /// Waits for SIGTERM or SIGINT, and returns the name of the signal. Cancelling loses no signal.
-    pub async fn stop_requested(&self) -> &'static str {
-        self.stop.notified().await;
-        self.stopped_by.get()
+    /// Waits for SIGTERM or SIGINT, which request a graceful shutdown, and returns the name of the signal.
+    /// Cancelling loses no signal.
+    pub async fn shutdown_requested(&self) -> &'static str {
+        self.shutdown.notified().await;
+        self.shutdown_signal.get()
     }
 }
