--- a/limiter/src/observability/labels.rs
+++ b/limiter/src/observability/labels.rs
@@ -8,10 +8,9 @@
 use prometheus_client::encoding::{EncodeLabel, EncodeLabelSet, LabelSetEncoder};
 
 /// Declares an enum whose variants are the values of a counter's only label. The key of the label is in
-/// brackets after the name of the enum, and each value has a name in snake case, which log fields use as
-/// well.
+/// parentheses after the name of the enum. Each value has a name in snake case, which log fields use as well.
 ///
-/// The names are written out, so that renaming a variant does not change what operators search for.
+/// The names are explicit, so that renaming a variant does not change the text that operators search for.
 macro_rules! label {
     (
         $(#[$enum_doc:meta])*
@@ -51,12 +50,12 @@
     pub enum ResponseOutcome("outcome") {
         /// A server's good response was returned to the client.
         Served => "served",
-        /// The client was sent a rejection: it may safely send the request again.
+        /// The client received a rejection, after which it may safely send the request again.
         Rejected => "rejected",
-        /// The client was sent an error: the request may have run.
+        /// The client received an error: the request may have been executed.
         Failed => "failed",
-        /// The engine sent the client an error at the deadline, because the decisions had not ended the
-        /// request before.
+        /// The engine sent the client an error at the deadline, because the core had not ended the request
+        /// before.
         FailedAtDeadline => "failed_at_deadline",
         /// The client disconnected before the final response.
         ClientDisconnected => "client_disconnected",
@@ -106,17 +105,17 @@
     pub enum AttemptOutcome("outcome") {
         /// The server returned a good response.
         Served => "served",
-        /// The server returned an error: the request may have run.
+        /// The server returned an error: the request may have been executed.
         Error => "error",
-        /// The server refused the request without running it.
+        /// The server rejected the request without executing it.
         Rejected => "rejected",
-        /// No response arrived in time: the request may have run.
+        /// No response arrived in time: the request may have been executed.
         TimedOut => "timed_out",
-        /// No connection could be established: the request did not run.
+        /// No connection could be established: the request was not executed.
         ConnectFailed => "connect_failed",
         /// The connection was lost after the request may have been written.
         ConnectionLost => "connection_lost",
-        /// The attempt was cancelled: the request may have run.
+        /// The attempt was cancelled: the request may have been executed.
         Cancelled => "cancelled",
         /// The request was not written to the server.
         NotSent => "not_sent",
@@ -139,13 +138,13 @@
 }
 
 label! {
-    /// How an attempt got its connection to a server, or why it got none.
+    /// How an attempt obtained its connection to a server, or why it did not obtain one.
     pub enum ServerConnectionOutcome("outcome") {
         /// An idle connection was taken from the pool.
         Reused => "reused",
         /// A new connection was established.
         Established => "established",
-        /// As many connections are open as may be, and none of them is idle.
+        /// The maximum number of server connections is open, and none of them is idle.
         NoPermit => "no_permit",
         /// This host has no descriptor, port or memory left, or no route to the server.
         NoLocalResources => "no_local_resources",
@@ -163,11 +162,11 @@
     pub enum ClientCloseReason("reason") {
         /// Every request was answered, and one side ended the connection.
         Finished => "finished",
-        /// The client broke the connection, or sent what is not HTTP.
+        /// The connection to the client failed, or the client sent something other than HTTP.
         ClientError => "client_error",
         /// The client disconnected while its request was open.
         ClientDisconnected => "client_disconnected",
-        /// The limiter closed the connection: it was overdue, or was evicted in favour of another.
+        /// The limiter closed the connection, because it was overdue or was evicted in favour of another one.
         Aborted => "aborted",
     }
 }
@@ -183,7 +182,7 @@
         ConnectionFailed => "connection_failed",
         /// Discovery ended the watch.
         EndedByDiscovery => "ended_by_discovery",
-        /// What discovery sent cannot be read as an endpoint list.
+        /// Discovery sent something that cannot be read as an endpoint list.
         Unreadable => "unreadable",
         /// A newer source of the endpoint list has replaced this one.
         Superseded => "superseded",
@@ -191,7 +190,7 @@
 }
 
 label! {
-    /// What must hold at every moment.
+    /// A condition that must hold at all times.
     pub enum Invariant("reason") {
         /// Each submitted request gets exactly one final response.
         OneFinalResponse => "one_final_response",
@@ -211,7 +210,7 @@
     }
 }
 
-/// Returns the name of the reason of an ejection in log fields.
+/// Returns the name of the reason for an ejection in log fields.
 pub fn ejection_reason_name(reason: EjectionReason) -> &'static str {
     match reason {
         EjectionReason::Errors => "errors",
--- a/limiter/src/observability/metrics.rs
+++ b/limiter/src/observability/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters of what the limiter does, in the text format of Prometheus.
+//! The counters of the limiter, in the text format of Prometheus.
 
 use std::fmt::Display;
 use std::hash::Hash;
@@ -13,21 +13,21 @@
     ServerConnectionOutcome, WatchEndReason,
 };
 
-/// First part of each counter's name.
+/// Prefix of the name of each counter.
 const NAME_PREFIX: &str = "limiter";
 
 /// The limiter's counters. The encoder adds `_total` to each name.
 pub struct Metrics {
     registry: CounterRegistry,
-    /// Requests that were submitted to the decisions.
+    /// Requests that were submitted to the core.
     pub requests: Counter,
-    /// Ends of submitted requests.
+    /// Submitted requests that have ended.
     pub responses: Family<ResponseOutcome, Counter>,
     /// Requests that were rejected before they were submitted.
     pub invalid_requests: Family<InvalidRequestReason, Counter>,
     /// Attempts that have ended.
     pub attempts: Family<AttemptOutcome, Counter>,
-    /// Connections to servers that attempts asked for.
+    /// Connections to servers that attempts requested.
     pub server_connections: Family<ServerConnectionOutcome, Counter>,
     /// Client connections that were accepted.
     pub client_connections_accepted: Counter,
@@ -41,7 +41,7 @@
     pub gossip_messages_received: Counter,
     /// Stalls of the process.
     pub process_stalls: Counter,
-    /// Violations of invariants. There should never be one.
+    /// Violations of invariants. Expected to stay 0.
     pub invariant_violations: Family<Invariant, Counter>,
 }
 
@@ -51,15 +51,16 @@
         let mut registry = CounterRegistry::new();
         Metrics {
             requests: registry.add("requests", "Requests submitted"),
-            responses: registry.add("responses", "Ends of submitted requests"),
+            responses: registry.add("responses", "Submitted requests that have ended"),
             invalid_requests: registry.add("invalid_requests", "Requests rejected before submission"),
             attempts: registry.add("attempts", "Attempts ended"),
-            server_connections: registry.add("server_connections", "Connections asked for by attempts"),
+            server_connections: registry.add("server_connections", "Connections requested by attempts"),
             client_connections_accepted: registry.add("client_connections_accepted", "Accepted connections"),
             client_connections_closed: registry.add("client_connections_closed", "Closed connections"),
             endpoint_watches_ended: registry.add("endpoint_watches_ended", "Endpoint watches ended"),
             gossip_messages_sent: registry.add("gossip_messages_sent", "Gossip messages sent"),
-            gossip_messages_received: registry.add("gossip_messages_received", "Messages of known peers"),
+            gossip_messages_received: registry
+                .add("gossip_messages_received", "Gossip messages received from peers"),
             process_stalls: registry.add("process_stalls", "Stalls of the process"),
             invariant_violations: registry.add("invariant_violations", "Violations of invariants"),
             registry,
@@ -77,8 +78,8 @@
         tracing::error!(%invariant, %detail, "invariant violated");
     }
 
-    /// Writes one log event for each counter without a label, and for each label value that has counted
-    /// something, with the name and the label in the notation of Prometheus.
+    /// Writes one log event for each counter without a label, and one for each label value under which an
+    /// event has been counted. The name and the label are in the notation of Prometheus.
     pub fn log_all(&self) {
         for line in self.text().lines().filter(|line| !line.starts_with('#')) {
             if let Some((name, value)) = line.rsplit_once(' ') {
--- a/limiter/src/observability/mod.rs
+++ b/limiter/src/observability/mod.rs
@@ -1,4 +1,4 @@
-//! What the limiter shows of itself: structured log events and counters.
+//! Observability: structured log events and counters.
 
 pub mod labels;
 pub mod logging;
--- a/limiter/src/observability/tests.rs
+++ b/limiter/src/observability/tests.rs
@@ -27,35 +27,35 @@
 /// Counts one event under each label value of each counter, and returns all counters in the text format.
 fn all_counters() -> String {
     let metrics = Metrics::new();
-    count_each(&metrics.responses, ResponseOutcome::ALL);
-    count_each(&metrics.invalid_requests, InvalidRequestReason::ALL);
-    count_each(&metrics.attempts, AttemptOutcome::ALL);
-    count_each(&metrics.server_connections, ServerConnectionOutcome::ALL);
-    count_each(&metrics.client_connections_closed, ClientCloseReason::ALL);
-    count_each(&metrics.endpoint_watches_ended, WatchEndReason::ALL);
-    count_each(&metrics.invariant_violations, Invariant::ALL);
+    count_once_per_label(&metrics.responses, ResponseOutcome::ALL);
+    count_once_per_label(&metrics.invalid_requests, InvalidRequestReason::ALL);
+    count_once_per_label(&metrics.attempts, AttemptOutcome::ALL);
+    count_once_per_label(&metrics.server_connections, ServerConnectionOutcome::ALL);
+    count_once_per_label(&metrics.client_connections_closed, ClientCloseReason::ALL);
+    count_once_per_label(&metrics.endpoint_watches_ended, WatchEndReason::ALL);
+    count_once_per_label(&metrics.invariant_violations, Invariant::ALL);
     metrics.text()
 }
 
-fn count_each<L: Copy + Eq + Hash>(family: &Family<L, Counter>, labels: &[L]) {
+fn count_once_per_label<L: Copy + Eq + Hash>(family: &Family<L, Counter>, labels: &[L]) {
     for label in labels {
         Metrics::count(family, *label);
     }
 }
 
-/// Returns the names of all counters with their labels, as the log has them.
+/// Returns the names of all counters with their labels, as they are logged.
 fn counter_names() -> BTreeSet<String> {
     let text = all_counters();
     let lines = text.lines().filter(|line| !line.starts_with('#'));
     lines.map(|line| line.rsplit_once(' ').expect("a value").0.to_string()).collect()
 }
 
-/// Asserts that the code and the page have the same rows, and names those that only one of them has.
-fn assert_same<T: Ord + Debug>(what: &str, in_code: &BTreeSet<T>, on_page: &BTreeSet<T>) {
+/// Asserts that the code and the page have the same rows. The failure message names the rows that differ.
+fn assert_same_rows<T: Ord + Debug>(what: &str, in_code: &BTreeSet<T>, on_page: &BTreeSet<T>) {
     let missing: Vec<&T> = in_code.difference(on_page).collect();
     let stale: Vec<&T> = on_page.difference(in_code).collect();
-    assert!(missing.is_empty(), "{what} that docs/operations.md does not have: {missing:#?}");
-    assert!(stale.is_empty(), "{what} that only docs/operations.md has: {stale:#?}");
+    assert!(missing.is_empty(), "{what} that docs/operations.md lacks: {missing:#?}");
+    assert!(stale.is_empty(), "{what} in docs/operations.md that the code lacks: {stale:#?}");
 }
 
 #[test]
@@ -80,19 +80,19 @@
     let sources = repository().join("limiter/src");
     let events: BTreeSet<LoggedEvent> =
         read_sources(&sources).iter().flat_map(|source| source_events::events_in(source)).collect();
-    assert!(events.len() > 20, "the sources are searched for events");
-    assert_same("events", &events, &OperationsPage::read().events());
+    assert!(events.len() > 20, "too few log events were found in the sources");
+    assert_same_rows("events", &events, &OperationsPage::read().events());
 }
 
 #[test]
 fn the_operations_page_has_every_counter_and_label_value() {
-    assert_same("counters", &counter_names(), &OperationsPage::read().counters());
+    assert_same_rows("counters", &counter_names(), &OperationsPage::read().counters());
 }
 
 #[test]
 fn the_places_on_the_operations_page_exist() {
     let places = OperationsPage::read().places();
-    assert!(places.len() > 20, "the page is searched for places");
+    assert!(places.len() > 20, "too few places were found on the page");
     for PlaceInCode { path, item } in places {
         let source = std::fs::read_to_string(repository().join(&path));
         let source = source.unwrap_or_else(|error| panic!("docs/operations.md names {path}: {error}"));
--- a/limiter/src/observability/tests/operations_page.rs
+++ b/limiter/src/observability/tests/operations_page.rs
@@ -24,19 +24,19 @@
 impl OperationsPage {
     pub fn read() -> OperationsPage {
         let path = repository().join("docs/operations.md");
-        OperationsPage { text: std::fs::read_to_string(path).expect("the page is there") }
+        OperationsPage { text: std::fs::read_to_string(path).expect("docs/operations.md is readable") }
     }
 
     /// Returns the events in both tables.
     pub fn events(&self) -> BTreeSet<LoggedEvent> {
         let rows = self.rows(EVENTS_HEADING).into_iter().map(|row| LoggedEvent {
             level: row[1].clone(),
-            message: only_code(&row[0]),
+            message: single_code_span(&row[0]),
             fields: code_spans(&row[2]),
         });
         let debug_rows = self.rows(DEBUG_EVENTS_HEADING).into_iter().map(|row| LoggedEvent {
             level: "debug".to_string(),
-            message: only_code(&row[0]),
+            message: single_code_span(&row[0]),
             fields: code_spans(&row[1]),
         });
         rows.chain(debug_rows).collect()
@@ -44,7 +44,7 @@
 
     /// Returns the names of the counters with their labels.
     pub fn counters(&self) -> BTreeSet<String> {
-        self.rows(COUNTERS_HEADING).iter().map(|row| only_code(&row[0])).collect()
+        self.rows(COUNTERS_HEADING).iter().map(|row| single_code_span(&row[0])).collect()
     }
 
     /// Returns the places in the code that the page names.
@@ -55,14 +55,14 @@
         places.map(|(path, item)| PlaceInCode { path: path.to_string(), item: item.to_string() }).collect()
     }
 
-    /// Returns the cells of each row of the table below a heading, without the two lines of the table's head.
+    /// Returns the cells of each row of the table below a heading, without the two lines of the table header.
     fn rows(&self, heading: &str) -> Vec<Vec<String>> {
         let lines = self.text.lines().skip_while(|line| *line != heading).skip(1);
         let table = lines.take_while(|line| !line.starts_with('#')).filter(|line| line.starts_with('|'));
         let rows: Vec<Vec<String>> = table.skip(2).map(cells).collect();
         assert!(!rows.is_empty(), "no table below '{heading}'");
         let names: BTreeSet<&String> = rows.iter().map(|row| &row[0]).collect();
-        assert_eq!(names.len(), rows.len(), "a row is there twice below '{heading}'");
+        assert_eq!(names.len(), rows.len(), "duplicate row below '{heading}'");
         rows
     }
 }
@@ -71,13 +71,13 @@
     line.trim_matches('|').split('|').map(|cell| cell.trim().to_string()).collect()
 }
 
-/// Returns what stands between backticks in a cell.
+/// Returns the code spans of a cell, which are enclosed in backticks.
 fn code_spans(cell: &str) -> BTreeSet<String> {
     cell.split('`').skip(1).step_by(2).map(str::to_string).collect()
 }
 
-fn only_code(cell: &str) -> String {
+fn single_code_span(cell: &str) -> String {
     let spans = code_spans(cell);
-    assert_eq!(spans.len(), 1, "'{cell}' names one thing");
+    assert_eq!(spans.len(), 1, "'{cell}' must have exactly one code span");
     spans.into_iter().next().unwrap_or_default()
 }
--- a/limiter/src/observability/tests/source_events.rs
+++ b/limiter/src/observability/tests/source_events.rs
@@ -3,10 +3,10 @@
 use std::collections::BTreeSet;
 use std::path::Path;
 
-/// The macros that log, without the path. Sources call them with it: `tracing::info!`.
+/// Names of the macros that log. Sources call them by their path, as in `tracing::info!`.
 const LEVELS: [&str; 5] = ["error", "warn", "info", "debug", "trace"];
 
-/// A log event as the sources or the page have it.
+/// A log event that the sources emit or the page documents.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct LoggedEvent {
     pub message: String,
@@ -47,7 +47,7 @@
     }
 }
 
-/// Returns the events that a source file logs.
+/// Returns the events that the text of a source file logs.
 pub fn events_in(source: &str) -> Vec<LoggedEvent> {
     assert_is_searchable(source);
     let mut events = Vec::new();
@@ -66,28 +66,28 @@
     for level in LEVELS {
         let num_all = source.matches(&format!("{level}!(")).count();
         let num_found = source.matches(&format!("tracing::{level}!(")).count();
-        assert_eq!(num_all, num_found, "{level} events are logged by tracing::{level}!(...)");
+        assert_eq!(num_all, num_found, "{level} events must be logged by tracing::{level}!(...)");
     }
-    assert!(!source.contains("event!("), "events are logged by the macro of their level");
+    assert!(!source.contains("event!("), "events must be logged by the macro of their level");
 }
 
-/// Splits the arguments of a macro call, from behind its opening bracket, at the commas outside of brackets
-/// and texts.
+/// Splits the arguments of a macro call at the commas outside of brackets and string literals. `text` begins
+/// after the opening bracket of the call.
 fn split_arguments(text: &str) -> Vec<String> {
     let mut arguments = vec![String::new()];
     let mut depth = 0;
-    let mut is_in_text = false;
+    let mut is_in_string = false;
     for c in text.chars() {
         match c {
-            '"' => is_in_text = !is_in_text,
-            '(' | '[' | '{' if !is_in_text => depth += 1,
-            ')' | ']' | '}' if !is_in_text => depth -= 1,
+            '"' => is_in_string = !is_in_string,
+            '(' | '[' | '{' if !is_in_string => depth += 1,
+            ')' | ']' | '}' if !is_in_string => depth -= 1,
             _ => {}
         }
         if depth < 0 {
             break;
         }
-        if c == ',' && depth == 0 && !is_in_text {
+        if c == ',' && depth == 0 && !is_in_string {
             arguments.push(String::new());
         } else {
             arguments.last_mut().expect("the first one at least").push(c);
@@ -97,13 +97,14 @@
     trimmed.filter(|argument| !argument.is_empty()).collect()
 }
 
-/// The message is the last argument, and a plain text; all others are fields, in any of the forms of
-/// `tracing`.
+/// Parses the arguments of a macro call. The last argument is the message, a plain string literal; all others
+/// are fields, in any of the forms that `tracing` allows.
 fn parse_event(level: &str, arguments: &[String]) -> LoggedEvent {
     let (message, fields) = arguments.split_last().expect("a message");
     let message = message.strip_prefix('"').and_then(|text| text.strip_suffix('"'));
-    let message = message.unwrap_or_else(|| panic!("the last argument is no message: {arguments:?}"));
-    assert!(!message.contains('{'), "a message has no values: '{message}'");
+    let message =
+        message.unwrap_or_else(|| panic!("the last argument is not a string literal: {arguments:?}"));
+    assert!(!message.contains('{'), "a message must not contain values: '{message}'");
     assert!(!message.starts_with(char::is_uppercase) && !message.ends_with('.'), "'{message}'");
     let name = |field: &String| {
         field.split('=').next().unwrap_or_default().trim_matches([' ', '%', '?']).to_string()
