--- a/limiter/src/endpoints/entry.rs
+++ b/limiter/src/endpoints/entry.rs
@@ -9,18 +9,18 @@
 
 use super::ResolvedEndpoint;
 
-/// Address of a server that has none in the list. Only servers that accept no requests may have none.
+/// Address of a server whose entry has none. Only servers that accept no requests may have no address.
 const NO_ADDRESS: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::UNSPECIFIED), 0);
 /// Index of a zone that the settings do not name. No limiter is in this zone.
 const FOREIGN_ZONE: u32 = u32::MAX;
-/// Weight of a server that has none in the list.
+/// Weight of a server whose entry has none.
 const DEFAULT_WEIGHT: f64 = 1.0;
 /// Name of the state of a server that accepts requests.
 const SERVING: &str = "active";
 /// Name of the state of a server that has been removed. A server in any other state is draining.
 const REMOVED: &str = "left";
 
-/// An entry as discovery writes it. A field that cannot be read counts as absent.
+/// An entry in discovery's JSON form. A field whose value has the wrong type is treated as absent.
 #[derive(Deserialize)]
 struct Entry {
     #[serde(default, deserialize_with = "lenient")]
@@ -49,10 +49,11 @@
     Ok(serde_json::from_value(value).ok())
 }
 
-/// Reads an entry. Returns `None` if the id or the state is missing, or the address of a serving server. The
-/// removal of a server needs no more than the id and the state, so that it is never missed.
+/// Reads an entry. Returns `None` if the id or the state is missing, or if a serving server has no valid
+/// address. The id and the state are sufficient for the removal of a server, so that no other field can
+/// prevent it.
 pub fn resolve(value: &Value, zone_index: impl Fn(&str) -> Option<u32>) -> Option<ResolvedEndpoint> {
-    // serde would accept an array, with the fields in their order.
+    // serde would also accept an array that contains the fields in the order of their declaration.
     if !value.is_object() {
         return None;
     }
@@ -74,7 +75,8 @@
     Some(ResolvedEndpoint { endpoint, address })
 }
 
-/// Returns the state of a server by its name. No new request may be sent to a server in an unknown state.
+/// Returns the state with this name. An unknown state is treated as draining, so that no new request is sent
+/// to the server.
 fn parse_state(name: &str) -> EndpointState {
     match name {
         SERVING => EndpointState::Serving,
--- a/limiter/src/endpoints/entry/tests.rs
+++ b/limiter/src/endpoints/entry/tests.rs
@@ -1,14 +1,15 @@
-//! Reading of single entries.
+//! Tests of reading a single entry.
 
 use super::*;
 
-/// One figure that cannot be read must neither retain a removed server in the list nor exclude a good one.
+/// A field that is missing or has the wrong type must neither keep a removed server on the list nor exclude a
+/// serving one.
 #[test]
-fn an_entry_is_read_as_far_as_possible() {
+fn valid_fields_of_a_malformed_entry_are_used() {
     let read = |text: &str| resolve(&serde_json::from_str(text).expect("JSON"), |_| Some(1));
-    let known = read(r#"{"id":"s","addr":"127.0.0.1:1","state":"active","weight":"x","started_ms":null}"#);
-    let known = known.expect("an entry").endpoint;
-    assert_eq!((known.weight, known.started_at, known.state), (1.0, 0.0, EndpointState::Serving));
+    let serving = read(r#"{"id":"s","addr":"127.0.0.1:1","state":"active","weight":"x","started_ms":null}"#);
+    let serving = serving.expect("an entry").endpoint;
+    assert_eq!((serving.weight, serving.started_at, serving.state), (1.0, 0.0, EndpointState::Serving));
     let removed = read(r#"{"id":"s","state":"left"}"#).expect("an entry").endpoint;
     assert_eq!((removed.state, removed.zone), (EndpointState::Removed, u32::MAX));
     let draining = read(r#"{"id":"s","addr":7,"state":"leaving","cell":-1}"#).expect("an entry").endpoint;
--- a/limiter/src/endpoints/mod.rs
+++ b/limiter/src/endpoints/mod.rs
@@ -1,4 +1,4 @@
-//! The endpoint list in discovery's JSON form, and its translation into endpoints with addresses.
+//! The endpoint list in discovery's JSON form, and its conversion into endpoints with addresses.
 //!
 //! [`entry`] reads a single entry of the list.
 
@@ -12,10 +12,10 @@
 use serde_json::Value;
 use simulator_adapter::NameIndex;
 
-/// A list of servers, or of changes to one, as discovery writes it.
+/// A complete endpoint list or the changes to one, in discovery's JSON form.
 #[derive(Deserialize, Clone)]
 pub struct EndpointList {
-    /// Version of the list, which grows with each change.
+    /// Version of the list, which increases with each change.
     pub version: u64,
     #[serde(rename = "full", default)]
     complete: bool,
@@ -26,20 +26,20 @@
 /// A server and its address.
 #[derive(Clone)]
 pub struct ResolvedEndpoint {
-    /// The server as the core knows it.
+    /// The server in the form that the core uses.
     pub endpoint: Endpoint,
     /// The address on which the server listens.
     pub address: SocketAddr,
 }
 
-/// A list of servers, or of changes to one, whose entries have been read.
+/// A complete endpoint list or the changes to one, with entries that have been read.
 #[derive(Clone)]
 pub struct EndpointUpdate {
-    /// The update names all servers, not only those that changed.
+    /// Whether the update lists all servers. Otherwise, only those that have changed are listed.
     pub complete: bool,
-    /// The servers.
+    /// The listed servers.
     pub endpoints: Vec<ResolvedEndpoint>,
-    /// Number of entries that could not be read and are left out.
+    /// Number of entries that could not be read. These are not among the listed servers.
     pub invalid_entries: usize,
 }
 
@@ -62,7 +62,7 @@
 
 impl EndpointUpdate {
     /// Returns the complete list that results from applying these changes to an earlier list. Servers that
-    /// did not change come first.
+    /// did not change come first. A complete update replaces the earlier list.
     pub fn applied_to(self, earlier: EndpointUpdate) -> EndpointUpdate {
         if self.complete {
             return self;
--- a/limiter/src/messages/attempt.rs
+++ b/limiter/src/messages/attempt.rs
@@ -1,4 +1,4 @@
-//! What the engine and the upstream exchange about an attempt at a server.
+//! The messages between the engine and the upstream about an attempt at a server.
 
 use std::rc::Rc;
 
@@ -16,20 +16,20 @@
     pub number: u32,
 }
 
-/// An attempt that is to be made.
+/// An attempt that the upstream has to execute.
 pub struct AttemptJob {
-    /// The attempt.
+    /// The request and the number of the attempt.
     pub id: AttemptId,
     /// The server that was chosen for the attempt.
     pub server: ServerId,
     /// The request that is forwarded.
     pub request: Rc<ForwardedRequest>,
-    /// The client abandons the request at this time.
+    /// Time at which the client abandons the request.
     pub deadline: Millis,
-    /// The earliest time at which the client may abandon the request. The time left that the server is given
-    /// ends here.
+    /// Earliest time at which the client may abandon the request. The time left that is sent to the server
+    /// ends at this time.
     pub server_deadline: Millis,
-    /// The attempt must not be sent to the server later than this.
+    /// Latest time at which the attempt may be sent to the server.
     pub latest_start: Millis,
 }
 
@@ -39,11 +39,11 @@
     pub outcome: Outcome,
     /// The body of a good response.
     pub body: Option<Bytes>,
-    /// The units that the request really cost, as a good response states.
+    /// The actual cost of the request in quota units, if a good response states it.
     pub actual_units: Option<f64>,
 }
 
-/// The result of an attempt without a good response.
+/// Creates the result of an attempt without a good response.
 impl From<Outcome> for AttemptResult {
     fn from(outcome: Outcome) -> AttemptResult {
         AttemptResult { outcome, body: None, actual_units: None }
--- a/limiter/src/messages/body.rs
+++ b/limiter/src/messages/body.rs
@@ -14,14 +14,14 @@
     #[error("the body is longer than {MAX_BODY_BYTES} bytes")]
     TooLong,
     /// The connection failed before the end of the body.
-    #[error("the body broke off: {0}")]
+    #[error("the body is incomplete: {0}")]
     Incomplete(hyper::Error),
 }
 
 /// Reads a body to its end.
 ///
-/// A body whose declared length is above [`MAX_BODY_BYTES`] is not read at all. What follows of a body that
-/// is too long stays unread in `body`.
+/// A body whose declared length is above [`MAX_BODY_BYTES`] is not read at all. The rest of a body that turns
+/// out to be too long stays unread in `body`.
 ///
 /// # Errors
 /// [`BodyError`] if the body is too long or incomplete.
--- a/limiter/src/messages/request.rs
+++ b/limiter/src/messages/request.rs
@@ -1,4 +1,5 @@
-//! What the front end and the upstream share of a request: its content, its final response and header names.
+//! Requests in the form that the front end, the engine and the upstream share: the content of a request, its
+//! final response, and the names of its headers.
 
 use bytes::Bytes;
 use hyper::header::{HeaderName, HeaderValue};
@@ -8,9 +9,9 @@
 
 /// Header that identifies a request. At most one request with the same value is pending.
 pub const CORRELATION_ID: HeaderName = HeaderName::from_static("x-correlation-id");
-/// Header that identifies the duplicates of one effect.
+/// Header with the idempotency key, which all duplicates of a request share.
 pub const IDEMPOTENCY_KEY: HeaderName = HeaderName::from_static("idempotency-key");
-/// Header with the time in seconds for which the sender will wait.
+/// Header with the time in seconds for which the sender waits for the response.
 pub const TIME_LEFT: HeaderName = HeaderName::from_static("x-time-left");
 
 /// The part of a client's request that is forwarded to a server unchanged.
@@ -32,12 +33,12 @@
 pub enum FinalResponse {
     /// The body of a server's good response.
     Served(Bytes),
-    /// The request was not served, and a retry by the client is safe.
+    /// The request was not served, and the client may safely retry.
     Rejected {
-        /// Time after which the client should retry; 0 for no advice.
+        /// Time in milliseconds after which the client should retry; 0 if the response advises no time.
         retry_after_ms: Millis,
     },
-    /// An error, after which the request may or may not have been executed.
+    /// An error that does not say whether the request was executed.
     Failed,
 }
 
