--- a/limiter/src/upstream/attempt.rs
+++ b/limiter/src/upstream/attempt.rs
@@ -1,5 +1,5 @@
-//! One attempt at a server: connects, checks once more that the attempt is wanted, sends the request and
-//! reads the response within bounds.
+//! One attempt at a server: gets a connection, checks again that the attempt is allowed, sends the request
+//! and reads the response up to a bounded length.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -19,8 +19,8 @@
 use crate::messages::body::{read_body, BodyError};
 use crate::messages::request::{CORRELATION_ID, IDEMPOTENCY_KEY, TIME_LEFT};
 
-/// Least time left that is sent to a server, in seconds: the least positive value that the header's three
-/// decimals can express.
+/// Shortest time left that is sent to a server, in seconds: the smallest positive value that the three
+/// decimals of the header can express.
 const MIN_TIME_LEFT_S: f64 = 0.001;
 
 /// Why an attempt received no complete response.
@@ -32,18 +32,18 @@
     /// The rules no longer allow the attempt. During the wait for a connection the server stopped serving,
     /// the client disconnected, or the time to begin passed.
     #[error("the attempt is no longer allowed: {0}")]
-    Refused(#[source] AttemptDenied),
+    Denied(#[source] AttemptDenied),
     /// The parts of the request do not form a valid head.
     #[error("the request cannot be written: {0}")]
     InvalidRequest(#[from] hyper::http::Error),
-    /// There is no connection.
+    /// No connection was available.
     #[error(transparent)]
     Connect(#[from] ConnectError),
     /// The connection ended before any byte of the request was written.
     #[error("the request was not written: {0}")]
     NotWritten(#[source] hyper::Error),
-    /// The connection ended, or the server sent what is not a response, after bytes of the request may have
-    /// been written.
+    /// The connection ended, or the server sent something other than a response, after bytes of the request
+    /// may have been written.
     #[error("the connection was lost: {0}")]
     ConnectionLost(#[source] hyper::Error),
     /// The body of the response is too long or incomplete.
@@ -56,7 +56,7 @@
     pub fn outcome(&self) -> Outcome {
         match self {
             AttemptError::NotServing
-            | AttemptError::Refused(_)
+            | AttemptError::Denied(_)
             | AttemptError::InvalidRequest(_)
             | AttemptError::Connect(ConnectError::NoPermit | ConnectError::LocalResources(_)) => {
                 Outcome::NotSent
@@ -67,25 +67,25 @@
     }
 }
 
-/// Sends a request to its server and reads the response. When this completes, the connection is in the pool
-/// or closed.
+/// Sends a request to its server and reads the response. On return, the connection is in the pool or closed.
 ///
-/// Cancelling closes the connection, or abandons the connect: nothing of the attempt continues.
+/// Cancelling closes the connection, or abandons the connect: no part of the attempt continues.
 ///
 /// # Errors
-/// [`AttemptError`] if no response was read to its end. The connection is then closed.
+/// [`AttemptError`] if no complete response was read. In this case, the connection is closed.
 pub async fn send_and_receive(
     servers: &Servers,
     engine: &Rc<Engine>,
     job: &AttemptJob,
 ) -> Result<AttemptResult, AttemptError> {
     let address = engine.serving_address(&job.server).ok_or(AttemptError::NotServing)?;
-    let mut connection = servers.connection_to(engine, &job.server, address).await?;
-    check_still_wanted(engine, job, address)?;
+    let mut connection = servers.get_connection(engine, &job.server, address).await?;
+    check_still_allowed(engine, job, address)?;
     let request = build_request(job, address, job.server_deadline - engine.now())?;
     let response = connection.drive(async move |sender| exchange(sender, request).await).await?;
-    // A server that has stopped serving must receive no further request on this connection. The connection is
-    // dropped here, since nothing else would close it. The start time of the server is not compared.
+    // A server that has stopped serving must receive no further request on this connection. Such a connection
+    // is dropped here, because it was not in the pool when the idle connections were closed. Only the address
+    // of the server is compared, not its start time.
     let is_serving = engine.serving_address(&job.server) == Some(address);
     if is_serving && connection.is_alive() {
         servers.put_idle(&job.server, connection);
@@ -96,13 +96,13 @@
 /// Checks that the attempt is still allowed, right before its first byte is written.
 ///
 /// During the wait for a connection the server may have begun to drain, the client may have disconnected or
-/// reached its deadline, or the window may have passed in which servers drop duplicates. Nothing new is sent
-/// to a draining server, nothing is forwarded for a client that has disconnected, and a request that may have
-/// been executed is not sent again.
+/// reached its deadline, or the deduplication window may have ended, after which servers no longer drop
+/// duplicates. No new request is sent to a draining server, no request is forwarded for a client that has
+/// disconnected, and a request that may have been executed is not sent again after that window.
 ///
 /// # Errors
-/// [`AttemptError::Refused`] with the reason.
-fn check_still_wanted(
+/// [`AttemptError::Denied`] contains the reason.
+fn check_still_allowed(
     engine: &Rc<Engine>,
     job: &AttemptJob,
     address: SocketAddr,
@@ -114,10 +114,10 @@
         begin_within_ms: job.latest_start - now,
         deadline_in_ms: job.deadline - now,
     };
-    rules::may_send(&facts).map_err(AttemptError::Refused)
+    rules::may_send(&facts).map_err(AttemptError::Denied)
 }
 
-/// Builds the request to a server. The client waits for another `remaining_ms`.
+/// Builds the request to a server. `remaining_ms` is the client's remaining time as stated to the server.
 fn build_request(
     job: &AttemptJob,
     address: SocketAddr,
@@ -137,8 +137,8 @@
     request.body(Full::new(forwarded.body.clone()))
 }
 
-/// Sends a request on a connection and reads the response to its end. After a cancellation the connection
-/// must be closed, as the rest of the response may still arrive.
+/// Sends a request on a connection and reads the response to its end. After a cancellation, the connection
+/// must be closed, because the rest of the response may still arrive.
 ///
 /// # Errors
 /// [`AttemptError::NotWritten`], [`AttemptError::ConnectionLost`] or [`AttemptError::Body`].
@@ -147,11 +147,11 @@
     request: Request<Full<Bytes>>,
 ) -> Result<ServerResponse, AttemptError> {
     let response = sender.try_send_request(request).await.map_err(|mut error| {
-        // hyper returns a request that was not written. Of any other request it is unknown whether it was
+        // hyper returns the request if it was not written. Otherwise, it is unknown whether the request was
         // written.
-        let is_returned = error.take_message().is_some();
+        let is_unwritten = error.take_message().is_some();
         let error = error.into_error();
-        if is_returned {
+        if is_unwritten {
             AttemptError::NotWritten(error)
         } else {
             AttemptError::ConnectionLost(error)
--- a/limiter/src/upstream/connection.rs
+++ b/limiter/src/upstream/connection.rs
@@ -21,22 +21,24 @@
 /// The half of a connection that accepts requests.
 pub type RequestSender = SendRequest<Full<Bytes>>;
 
-/// A connection, with the future that does its input and output. No task owns that future: it makes progress
-/// only in [`PooledConnection::drive`], and dropping the connection closes the socket at once.
+/// A connection, with the future that does its input and output. No task owns that future, which makes
+/// progress only when [`PooledConnection::drive`] or [`PooledConnection::is_alive`] polls it. Dropping the
+/// connection closes the socket at once.
 pub struct PooledConnection {
     sender: RequestSender,
     driver: Connection<TokioIo<Stream>, Full<Bytes>>,
-    /// The driver has completed, and must not be polled again.
+    /// Whether the driver has completed, and must not be polled again.
     is_closed: bool,
-    /// Returned when the socket has been closed: fields are dropped in the order of their declaration.
+    /// Returned only after the socket is closed, because fields are dropped in the order of their
+    /// declaration.
     _permit: ConnectionPermit,
 }
 
 /// Why there is no connection to a server.
 #[derive(Debug, thiserror::Error)]
 pub enum ConnectError {
-    /// As many connections are open as may be, and none of them is idle.
-    #[error("no more connections may be open")]
+    /// The limit of open connections is reached, and none of them is idle.
+    #[error("the limit of open connections is reached")]
     NoPermit,
     /// The descriptors, ports or memory of this host are exhausted, or the host has no route to the server.
     #[error("connect failed: {0}")]
@@ -88,7 +90,7 @@
     }
 
     /// Returns whether the connection can carry a request. Polls the connection once, without waiting, so
-    /// that anything the server has sent or closed by now is seen.
+    /// that data or a close from the server that has arrived by now is noticed.
     pub fn is_alive(&mut self) -> bool {
         if self.is_closed {
             return false;
@@ -101,9 +103,10 @@
     /// Runs an exchange while the connection does its input and output.
     ///
     /// The exchange is polled first, so that a complete response is returned even if the connection ends with
-    /// it. If the connection ends early, the exchange continues until it has noticed that.
+    /// it. If the connection ends early, the exchange continues until it has noticed the end of the
+    /// connection.
     ///
-    /// Cancelling leaves the exchange incomplete: the connection must then be dropped, too.
+    /// Cancelling leaves the exchange incomplete, so that the connection must be dropped as well.
     pub async fn drive<T>(&mut self, exchange: impl AsyncFnOnce(&mut RequestSender) -> T) -> T {
         let PooledConnection { sender, driver, is_closed, .. } = self;
         let exchange = exchange(sender);
--- a/limiter/src/upstream/mod.rs
+++ b/limiter/src/upstream/mod.rs
@@ -1,4 +1,4 @@
-//! The servers: attempts at them, and the pool of connections to them.
+//! Attempts at servers, and the pool of connections to servers.
 //!
 //! Modules, in the order in which to read them. Each one uses only those listed after it, except that
 //! [`attempt`] takes its connection from [`servers`] and returns it there:
@@ -7,8 +7,8 @@
 //! | --- | --- |
 //! | [`servers`] | starts attempts for the engine, and reports how each one ended |
 //! | [`attempt`] | one attempt: connect, check, send, receive |
-//! | [`response`] | what a server's response means for the core |
-//! | [`pool`] | idle connections, and the bound on all open ones |
+//! | [`response`] | translates a server's response into the result of the attempt |
+//! | [`pool`] | idle connections, and the limit on open connections |
 //! | [`connection`] | one connection, and the exchanges on it |
 //! | [`permit`] | counts the open connections |
 
--- a/limiter/src/upstream/pool.rs
+++ b/limiter/src/upstream/pool.rs
@@ -1,4 +1,4 @@
-//! The pool of connections to servers: those that are idle, and a bound on all that are open.
+//! The pool of connections to servers: idle connections, and the limit on open connections.
 
 use std::collections::HashMap;
 use std::time::Instant;
@@ -17,39 +17,39 @@
 }
 
 impl IdleConnection {
-    /// Returns what the rules need to know of the connection at this moment.
+    /// Returns the facts by which the rules decide about the connection at this moment.
     fn facts(&self, max_idle_ms: Millis) -> ServerConnectionFacts {
         ServerConnectionFacts { idle_ms: duration::to_ms(self.idle_since.elapsed()), max_idle_ms }
     }
 }
 
-/// Idle connections by server, and a bound on all that are open.
+/// Idle connections by server, and the limit on open connections.
 ///
 /// Connections are pooled by server and not by address: a new server at the address of a removed one must not
 /// receive requests on connections to the removed one.
 pub struct ConnectionPool {
-    /// Each server's connections, the one that has been idle for longest first.
+    /// The idle connections to each server, the one that has been idle for longest first.
     idle: HashMap<ServerId, Vec<IdleConnection>>,
-    /// Connections that have been idle for longer are not used.
+    /// Connections that have been idle for this time or longer are not used.
     max_idle_ms: Millis,
     /// Counts all open connections, idle ones included.
     limit: ConnectionLimit,
 }
 
 impl ConnectionPool {
-    /// Creates an empty pool that allows `max_open` connections and closes those that have been idle for
-    /// `max_idle_ms`.
+    /// Creates an empty pool that allows `max_open` connections, and closes connections that have been idle
+    /// for `max_idle_ms`.
     pub fn new(max_open: usize, max_idle_ms: Millis) -> ConnectionPool {
         ConnectionPool { idle: HashMap::new(), max_idle_ms, limit: ConnectionLimit::new(max_open) }
     }
 
-    /// Returns a connection to a server: the one that was used last, among those whose reuse delay has passed
-    /// and that are alive.
+    /// Takes a connection to a server from the pool: the most recently used one among those whose reuse delay
+    /// has passed, that have not expired and that are alive.
     ///
-    /// A connection that the server has closed, or on which it has written without a request, is closed
-    /// here, before it is used. A request on such a connection would end in a reset, or would receive as its
-    /// response what the server wrote. Nothing polls a connection while it is idle: bytes that arrive in
-    /// that time are noticed here.
+    /// A connection that the server has closed, or on which the server has written without a request, is
+    /// closed here. A request on such a connection would end in a reset, or would receive as its response
+    /// what the server wrote. Nothing polls a connection while it is idle, so that this check is the first to
+    /// notice bytes that arrived in that time.
     pub fn take_idle(&mut self, server: &ServerId) -> Option<PooledConnection> {
         let max_idle_ms = self.max_idle_ms;
         let connections = self.idle.get_mut(server)?;
@@ -63,15 +63,16 @@
         None
     }
 
-    /// Adds a connection whose last response has been read to the end. Its reuse delay begins now.
+    /// Adds a connection to the pool. Its last response has been read to the end, and its reuse delay begins
+    /// now.
     pub fn put_idle(&mut self, server: &ServerId, connection: PooledConnection) {
         let idle = IdleConnection { connection, idle_since: Instant::now() };
         self.idle.entry(server.clone()).or_default().push(idle);
     }
 
-    /// Returns a permit for one more connection. At the limit, the connection that has been idle for longest
-    /// is closed first; returns `None` if no connection is idle.
-    pub fn reserve(&mut self) -> Option<ConnectionPermit> {
+    /// Returns a permit for one more connection. At the limit, closes the connection that has been idle for
+    /// longest, and returns `None` if no connection is idle.
+    pub fn acquire_permit(&mut self) -> Option<ConnectionPermit> {
         if let Some(permit) = self.limit.try_acquire() {
             return Some(permit);
         }
--- a/limiter/src/upstream/servers.rs
+++ b/limiter/src/upstream/servers.rs
@@ -1,4 +1,4 @@
-//! The servers as the engine reaches them.
+//! Executes the attempts of the engine on pooled connections, and reports how each one ended.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -18,13 +18,14 @@
 use crate::observability::metrics::Metrics;
 use crate::runtime::duration;
 
-/// Least time that a connect may take, in milliseconds, whatever the settings say. A timeout of 0 would fail
-/// every connect.
+/// Shortest timeout of a connect, in milliseconds. A shorter timeout in the settings is raised to this value,
+/// because every connect would fail with a timeout of 0.
 const MIN_CONNECT_TIMEOUT_MS: Millis = 1.0;
-/// How often expired connections are closed. A connection that expires between two sweeps is not used either.
+/// Interval at which expired connections are closed. A connection that expires between two sweeps is not
+/// reused.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Makes attempts at servers, on pooled connections.
+/// Executes attempts at servers, on pooled connections.
 pub struct Servers {
     pool: RefCell<ConnectionPool>,
     connect_timeout_ms: Millis,
@@ -50,11 +51,11 @@
         self.max_request_units
     }
 
-    /// Returns an idle connection to a server, or connects. Cancelling abandons the connect.
+    /// Returns an idle connection to a server, or opens a new one. Cancelling abandons the connect.
     ///
     /// # Errors
     /// [`ConnectError`] if no connection is idle and none can be opened.
-    pub(super) async fn connection_to(
+    pub(super) async fn get_connection(
         &self,
         engine: &Engine,
         server: &ServerId,
@@ -66,7 +67,7 @@
             Metrics::count(&engine.metrics().server_connections, ServerConnectionOutcome::Reused);
             return Ok(connection);
         }
-        let permit = self.pool.borrow_mut().reserve().ok_or(ConnectError::NoPermit)?;
+        let permit = self.pool.borrow_mut().acquire_permit().ok_or(ConnectError::NoPermit)?;
         let connect_timeout = duration::from_ms(self.connect_timeout_ms);
         let connected = PooledConnection::connect(address, connect_timeout, permit).await;
         let outcome = match &connected {
@@ -96,13 +97,13 @@
     }
 }
 
-/// Makes one attempt and reports its end to the engine, exactly once.
+/// Executes one attempt, and reports its end to the engine exactly once.
 ///
-/// The engine cancels an attempt by `cancelled`, with the outcome to report. If both a cancellation and a
-/// response have arrived, the cancellation counts, as the `select` is biased. The `select` drops the attempt,
-/// and with it the connection, before the end is reported and the engine may begin the next attempt: a
-/// request never has two attempts in flight. If the sender of `cancelled` is dropped without an outcome, the
-/// attempt continues.
+/// The engine cancels the attempt by sending the outcome to report through `cancelled`. If both a
+/// cancellation and a response have arrived, the cancellation takes precedence, because the `select` is
+/// biased. The `select` drops the attempt, and with it the connection, before the end is reported and the
+/// engine may begin the next attempt: a request never has two attempts in flight. If the sender of
+/// `cancelled` is dropped without an outcome, the attempt continues.
 async fn run_attempt(
     servers: Rc<Servers>,
     engine: Rc<Engine>,
@@ -124,7 +125,8 @@
     engine.record_attempt_end(job.id, result);
 }
 
-/// Closes connections that have been idle for too long, forever. Cancelling only ends the checks.
+/// Closes idle connections that have expired, at intervals of [`SWEEP_INTERVAL`]. Never returns. Cancelling
+/// only ends the sweeps.
 pub async fn close_expired_connections(servers: Rc<Servers>) {
     loop {
         tokio::time::sleep(SWEEP_INTERVAL).await;
