--- a/limiter/src/engine/actions.rs
+++ b/limiter/src/engine/actions.rs
@@ -27,7 +27,7 @@
             Action::Fail { id } => self.respond(state, id, FinalResponse::Failed),
             Action::SetTimer { after_ms, token } => {
                 let fires_at = self.now() + after_ms.max(0.0);
-                self.set_timer(state, fires_at, TimerKind::Decision(token));
+                self.set_timer(state, fires_at, TimerKind::Core(token));
             }
             Action::SendGossip { to, body } => {
                 self.metrics.gossip_messages_sent.inc();
@@ -39,13 +39,14 @@
         }
     }
 
-    /// Gives a request its one final response.
+    /// Sends a request its final response, and counts the response. Records a violated invariant if the
+    /// request is not pending.
     pub(super) fn respond(&self, state: &mut State, id: RequestId, response: FinalResponse) {
         let outcome = response.outcome();
         tracing::debug!(request = id, %outcome, "request finished");
         Metrics::count(&self.metrics.responses, outcome);
         if !state.pending.respond(id, response) {
-            let detail = format_args!("request {id}: {outcome} once more");
+            let detail = format_args!("request {id}: {outcome}, but the request is not pending");
             self.metrics.record_violation(Invariant::OneFinalResponse, &detail);
         }
     }
--- a/limiter/src/engine/attempts.rs
+++ b/limiter/src/engine/attempts.rs
@@ -13,10 +13,10 @@
 use crate::observability::metrics::Metrics;
 
 impl Engine {
-    /// Records the end of an attempt, whose connection is closed or back in the pool.
+    /// Records the end of an attempt. The connection of the attempt must be closed or back in the pool.
     ///
     /// A good response is returned to the client if the request is still pending, and dropped otherwise. The
-    /// core is notified of the outcome in either case.
+    /// outcome is reported to the core in either case.
     pub fn record_attempt_end(self: &Rc<Self>, id: AttemptId, result: AttemptResult) {
         let mut state = self.state.borrow_mut();
         let Some(started_at) = state.pending.record_attempt_end(id) else { return };
@@ -46,7 +46,8 @@
         Metrics::count(&self.metrics.attempts, outcome);
     }
 
-    /// Starts the next attempt of a request, or reports to the core that the attempt was not sent.
+    /// Starts the next attempt of a request, or reports to the core that the attempt was not sent. Has no
+    /// effect if the request is not pending.
     pub(super) fn start_attempt(
         self: &Rc<Self>,
         state: &mut State,
@@ -57,7 +58,7 @@
         let Some(attempt) = state.pending.next_attempt(request) else { return };
         let now = self.now();
         if attempt.another_in_flight {
-            let detail = format_args!("request {request}: a second attempt beside the first was not sent");
+            let detail = format_args!("request {request}: attempt not sent, because another is in flight");
             self.metrics.record_violation(Invariant::OneAttemptAtATime, &detail);
         }
         if attempt.another_in_flight || state.endpoints.serving_address(&server).is_none() {
--- a/limiter/src/engine/clock/tests.rs
+++ b/limiter/src/engine/clock/tests.rs
@@ -1,11 +1,12 @@
-//! The origin of the clock.
+//! Tests of the origin of the clock.
 
 use super::*;
 
-/// A limiter whose wall clock is stepped back between two starts must not use an incarnation again. The low
-/// bits of the clock's origin are the incarnation, and the origin comes from random numbers alone.
+/// A limiter must not reuse an incarnation, even if the wall clock is stepped back between two starts. The
+/// incarnation is the low 32 bits of the clock's origin, and the origin is generated from random numbers
+/// alone.
 #[test]
-fn no_two_starts_have_the_same_origin() {
+fn each_start_uses_a_different_origin() {
     let low_bits = |clock: &Clock| clock.now() as u64 as u32;
     let first = Clock::start();
     let second = Clock::start();
--- a/limiter/src/engine/dispatch.rs
+++ b/limiter/src/engine/dispatch.rs
@@ -20,8 +20,7 @@
         self.handle_queued_events(state);
     }
 
-    /// Handles queued events until none is left, and drops the timers at the front that serve no purpose any
-    /// more.
+    /// Handles queued events until none is left, and drops stale timers from the front of the timer queue.
     pub(super) fn handle_queued_events(self: &Rc<Self>, state: &mut State) {
         while let Some(event) = state.events.pop_front() {
             let mut actions = std::mem::take(&mut state.actions);
@@ -39,11 +38,11 @@
 }
 
 impl State {
-    /// Drops stale timers from the front of the queue, and returns whether there were any.
+    /// Drops stale timers from the front of the timer queue, and returns whether any was dropped.
     fn drop_stale_timers(&mut self) -> bool {
         let State { limiter, timers, pending, .. } = self;
         timers.drop_stale(|kind| match kind {
-            TimerKind::Decision(token) => limiter.is_timer_needed(token),
+            TimerKind::Core(token) => limiter.is_timer_needed(token),
             TimerKind::AttemptTimeout(id) => pending.is_in_flight(id),
             TimerKind::Deadline(id) => pending.contains(id),
         })
--- a/limiter/src/engine/endpoint_table.rs
+++ b/limiter/src/engine/endpoint_table.rs
@@ -1,4 +1,4 @@
-//! The installed endpoint list: the servers that discovery or the configuration names, and their addresses.
+//! The installed endpoint list: the servers that discovery or the configuration lists, and their addresses.
 
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
@@ -13,55 +13,56 @@
 /// log queue.
 const MAX_LOGGED_CHANGES: usize = 64;
 
-/// What is known of a server that is on the list.
+/// A server on the installed list.
 #[derive(Clone, Copy)]
-struct KnownEndpoint {
+struct InstalledEndpoint {
     address: SocketAddr,
     is_serving: bool,
     started_at: Millis,
 }
 
-impl KnownEndpoint {
-    /// Returns whether pooled connections to this server must be closed when `new` is announced, or when the
-    /// server is removed: the server no longer serves, or another process listens. Idle connections to a
-    /// process that has been replaced must not be used, even if they look alive. A connection that carries an
-    /// attempt at that moment is examined when the attempt ends.
-    fn makes_connections_stale(&self, new: Option<&KnownEndpoint>) -> bool {
+impl InstalledEndpoint {
+    /// Returns whether the idle connections to this server must be closed because `new` replaces the server
+    /// on the list, or because the server is removed if `new` is `None`.
+    ///
+    /// This is the case if the server no longer serves, has another address, or has restarted. Idle
+    /// connections to a process that has been replaced must not be used, even if they look alive. A
+    /// connection with an attempt in flight is checked when the attempt ends.
+    fn makes_connections_stale(&self, new: Option<&InstalledEndpoint>) -> bool {
         !new.is_some_and(|new| {
             new.is_serving && new.address == self.address && new.started_at == self.started_at
         })
     }
 }
 
-/// The servers of the installed list by id.
+/// The servers on the installed list, by id.
 #[derive(Default)]
 pub struct EndpointTable {
-    endpoints: HashMap<ServerId, KnownEndpoint>,
-    /// Whether a list with a serving server was ever installed: a list of discovery, or the list of the
-    /// configuration.
+    endpoints: HashMap<ServerId, InstalledEndpoint>,
+    /// Whether a list with a serving server was ever installed, from discovery or from the configuration.
     ever_had_serving: bool,
 }
 
 impl EndpointTable {
     /// Returns the address of a server, if the server is serving.
     pub fn serving_address(&self, server: &ServerId) -> Option<SocketAddr> {
-        let known = self.endpoints.get(server).filter(|known| known.is_serving)?;
-        Some(known.address)
+        let installed = self.endpoints.get(server).filter(|installed| installed.is_serving)?;
+        Some(installed.address)
     }
 
     /// Returns whether any server is serving.
     pub fn any_serving(&self) -> bool {
-        self.endpoints.values().any(|known| known.is_serving)
+        self.endpoints.values().any(|installed| installed.is_serving)
     }
 
-    /// Returns whether a list with a serving server was ever installed: a list of discovery, or the list of
-    /// the configuration.
+    /// Returns whether a list with a serving server was ever installed, from discovery or from the
+    /// configuration.
     pub fn ever_had_serving(&self) -> bool {
         self.ever_had_serving
     }
 
-    /// Installs an update, logs the servers that have changed, and closes idle connections that must not be
-    /// used any more.
+    /// Installs an update, logs the servers that have changed, and closes idle connections that must no
+    /// longer be used.
     pub fn apply(&mut self, update: &EndpointUpdate, upstream: &dyn Upstream) {
         if update.complete {
             self.remove_unlisted(update, upstream);
@@ -84,7 +85,7 @@
         }
     }
 
-    /// Removes the servers that a complete list does not name.
+    /// Removes the servers that are missing from a complete list.
     fn remove_unlisted(&mut self, update: &EndpointUpdate, upstream: &dyn Upstream) {
         let listed: HashSet<&ServerId> =
             update.endpoints.iter().map(|resolved| &resolved.endpoint.server).collect();
@@ -100,7 +101,7 @@
     /// Installs one server, and returns whether its address or state has changed.
     fn apply_endpoint(&mut self, listed: &ResolvedEndpoint, upstream: &dyn Upstream) -> bool {
         let server = &listed.endpoint.server;
-        let new = known_endpoint(&listed.endpoint, listed.address);
+        let new = installed_endpoint(&listed.endpoint, listed.address);
         self.ever_had_serving |= new.is_some_and(|new| new.is_serving);
         let old = match new {
             Some(new) => self.endpoints.insert(server.clone(), new),
@@ -113,11 +114,11 @@
     }
 }
 
-/// Returns what is known of an announced server, or `None` if the server is withdrawn.
-fn known_endpoint(endpoint: &Endpoint, address: SocketAddr) -> Option<KnownEndpoint> {
+/// Returns the entry of an announced server on the installed list, or `None` if the server has been removed.
+fn installed_endpoint(endpoint: &Endpoint, address: SocketAddr) -> Option<InstalledEndpoint> {
     match endpoint.state {
         EndpointState::Removed => None,
-        EndpointState::Serving | EndpointState::Draining => Some(KnownEndpoint {
+        EndpointState::Serving | EndpointState::Draining => Some(InstalledEndpoint {
             address,
             is_serving: endpoint.state == EndpointState::Serving,
             started_at: endpoint.started_at,
@@ -126,7 +127,7 @@
 }
 
 /// Returns whether a server appeared, was removed, or changed its address or state.
-fn has_changed(old: Option<KnownEndpoint>, new: Option<KnownEndpoint>) -> bool {
+fn has_changed(old: Option<InstalledEndpoint>, new: Option<InstalledEndpoint>) -> bool {
     match (old, new) {
         (Some(old), Some(new)) => old.is_serving != new.is_serving || old.address != new.address,
         (None, None) => false,
--- a/limiter/src/engine/endpoint_updates.rs
+++ b/limiter/src/engine/endpoint_updates.rs
@@ -1,4 +1,4 @@
-//! Installs endpoint lists: the list of the configuration, and the lists that discovery announces.
+//! Installs endpoint lists: the configured list, and the lists that discovery announces.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -9,23 +9,24 @@
 use crate::endpoints::EndpointUpdate;
 use crate::runtime::duration;
 
-/// Time in milliseconds that a new process waits for an announcement of discovery where lists are subscribed
-/// to. Afterwards the list of the configuration counts as current.
+/// Time in milliseconds for which a new process waits for the first announcement of discovery, if the limiter
+/// has to subscribe to the endpoint list. Afterwards, the process relies on the configured list.
 const SUBSCRIBED_DISCOVERY_TIMEOUT_MS: Millis = 2000.0;
-/// Time in milliseconds that a new process waits for an announcement of discovery where lists are pushed. An
-/// agent on this machine answers immediately, unless it knows nothing. Afterwards the list of the
-/// configuration counts as current.
+/// Time in milliseconds for which a new process waits for the first announcement of discovery, if the
+/// endpoint list is pushed. A discovery agent on this machine answers immediately, unless the agent has no
+/// list. Afterwards, the process relies on the configured list.
 const PUSHED_DISCOVERY_TIMEOUT_MS: Millis = 500.0;
-/// Time in milliseconds in which peers answer a new process that has installed the list of the configuration
-/// and polls them for tombstones. The process is ready only afterwards, and clients connect only then.
+/// Time in milliseconds for the peers to answer a new process that has installed the configured list and
+/// polls them for tombstones. The process is ready only afterwards, and clients connect only to a ready
+/// process.
 const TOMBSTONE_POLL_TIMEOUT_MS: Millis = 250.0;
 
 impl Engine {
-    /// Installs the endpoint list of the configuration file, or withholds the list where lists are pushed.
+    /// Installs the configured endpoint list immediately if the limiter has to subscribe to endpoint lists,
+    /// and withholds it if the lists are pushed.
     ///
-    /// What an agent on this machine knows counts as announced from the start of the process. Until the agent
-    /// answers, nothing may be sent by an older list. Where lists are subscribed to, the list is installed at
-    /// once.
+    /// Where lists are pushed, the list of the discovery agent on this machine applies from the start of the
+    /// process. Until the agent answers, no request may be forwarded by an older list.
     pub(super) fn install_configured_list(self: &Rc<Self>) {
         let Some(list) = &self.config.known_endpoints else { return };
         let list = EndpointUpdate { complete: true, ..list.resolve(&self.config.names) };
@@ -37,7 +38,7 @@
         }
     }
 
-    /// Installs the withheld endpoint list of the configuration, if discovery announces nothing in time.
+    /// Installs the withheld configured list, if discovery announces nothing in time.
     pub async fn fall_back_to_configured_endpoints(self: Rc<Self>) {
         let waited_ms = self.discovery_timeout_ms();
         tokio::time::sleep(duration::from_ms(waited_ms)).await;
@@ -55,15 +56,15 @@
         }
     }
 
-    /// Returns whether the installed list counts as current: discovery has announced a list, or neither
-    /// discovery nor, after it, the peers have answered in time.
+    /// Returns whether the installed list is treated as current: discovery has announced a list, or the time
+    /// for discovery and then the time for the peers to answer has passed.
     pub(super) fn has_endpoint_list(&self) -> bool {
         let max_wait_ms = self.discovery_timeout_ms() + TOMBSTONE_POLL_TIMEOUT_MS;
         self.discovery_has_announced.get() || self.clock.age_ms() > max_wait_ms
     }
 
-    /// Installs an announcement of discovery. The first announcement is applied to the withheld list of the
-    /// configuration.
+    /// Installs an announcement of discovery. The first announcement is applied to the configured list, if
+    /// that list is withheld.
     pub fn update_endpoints(self: &Rc<Self>, update: EndpointUpdate) {
         self.discovery_has_announced.set(true);
         log_invalid_entries(&update);
@@ -79,7 +80,7 @@
         self.apply_endpoints(list, |endpoints| Event::EndpointsConfigured { endpoints });
     }
 
-    /// Installs an update in the table of addresses, and passes its servers to the core as an event.
+    /// Installs an update in the endpoint table, and passes its servers to the core as an event.
     fn apply_endpoints(
         self: &Rc<Self>,
         update: EndpointUpdate,
--- a/limiter/src/engine/mod.rs
+++ b/limiter/src/engine/mod.rs
@@ -2,19 +2,19 @@
 //! [`Limiter::handle`].
 //!
 //! The front end submits requests to the engine, and the discovery client submits updates of the endpoint
-//! list. The engine hands out attempts and gossip through the traits [`Upstream`] and [`GossipTransport`],
-//! and names no implementation of them.
+//! list. The engine starts attempts and sends gossip through the traits [`Upstream`] and [`GossipTransport`],
+//! and depends on no implementation of them.
 //!
 //! | file | job |
 //! | --- | --- |
-//! | `submission` | requests of clients, from their submission to a disconnect of the client |
+//! | `submission` | submission of client requests, and disconnects of their clients |
 //! | `dispatch` | passes events to the limiter, until no more are queued |
 //! | `actions` | applies the actions that the limiter returns |
 //! | `attempts` | starts attempts at servers and records their ends |
 //! | `endpoint_updates`, `endpoint_table` | install endpoint lists; the installed list with its addresses |
 //! | `readiness` | whether clients may send requests |
-//! | `timers`, `timer_queue` | fire timers; the timers by the time at which they fire |
-//! | `pending`, `pending_response` | requests that wait for their final response, on both sides of the wait |
+//! | `timers`, `timer_queue` | fire timers; the queue of timers |
+//! | `pending`, `pending_response` | pending requests; the receiver of the final response to one of them |
 //! | `ports` | the traits that the layers around the engine implement |
 //! | `clock` | the clock of the core |
 
@@ -53,7 +53,8 @@
 pub use submission::DuplicateRequest;
 use timer_queue::TimerQueue;
 
-/// The limiter with everything that surrounds it. All tasks run on one thread, so that nothing is locked.
+/// The limiter with its clock and state, and the layers that it calls. All tasks run on one thread, so that
+/// no lock is needed.
 pub struct Engine {
     config: Config,
     clock: Clock,
@@ -62,21 +63,21 @@
     gossip: Box<dyn GossipTransport>,
     /// Whether discovery has announced an endpoint list to this process.
     discovery_has_announced: Cell<bool>,
-    /// The endpoint list of the configuration while it is withheld: until discovery has announced what has
-    /// changed, or has not answered in time.
+    /// The configured endpoint list while it is withheld: until the first announcement of discovery, or until
+    /// the time to wait for it has passed.
     withheld_list: Cell<Option<EndpointUpdate>>,
     is_shutting_down: Cell<bool>,
     state: RefCell<State>,
-    /// Wakes the task that fires timers, when the next timer has changed.
+    /// Wakes the task that fires timers when the next timer has changed.
     timers_changed: Notify,
     arrival_clock: Rc<ArrivalClock>,
 }
 
-/// The state that changes with each event. It is borrowed for an event with all its actions, so that the
-/// layers around the engine must not call the engine from within an action.
+/// The state that events change. The state stays borrowed while an event and all its actions are handled. The
+/// layers around the engine therefore must not call the engine while an action is applied.
 struct State {
     limiter: Limiter,
-    /// Events that wait to be handled, in their order.
+    /// Events that wait to be handled, in the order in which they are handled.
     events: VecDeque<Event>,
     /// The buffer for the actions of one event; empty between events.
     actions: Vec<Action>,
@@ -100,10 +101,10 @@
 }
 
 impl Engine {
-    /// Creates the engine, and installs or withholds the endpoint list of the configuration.
+    /// Creates the engine, and installs or withholds the configured endpoint list.
     ///
     /// # Errors
-    /// [`SettingsError`] names the first of the settings that cannot be served.
+    /// [`SettingsError`] names the first invalid setting.
     pub fn new(
         config: Config,
         upstream: Box<dyn Upstream>,
@@ -144,7 +145,7 @@
         &self.metrics
     }
 
-    /// Returns the present time of the core's clock.
+    /// Returns the current time of the core's clock.
     pub fn now(&self) -> Millis {
         self.clock.now()
     }
@@ -159,14 +160,15 @@
         self.metrics.log_all();
     }
 
-    /// Begins the shutdown: the limiter is no longer ready, and every request has its final response in time.
+    /// Begins the shutdown: the limiter is no longer ready, and every request receives its final response
+    /// within `shutdown_response_ms` of the configuration.
     pub fn start_shutdown(self: &Rc<Self>) {
         self.is_shutting_down.set(true);
         let deadline = self.now() + self.config.shutdown_response_ms;
         self.handle_event(Event::ShutdownStarted { deadline });
     }
 
-    /// Checks that no request is pending any more, and logs the counters and the end of the process.
+    /// Checks that no request is pending, and logs the counters and the end of the process.
     pub fn finish_shutdown(&self) {
         let num_pending = self.state.borrow().pending.len();
         if num_pending > 0 {
--- a/limiter/src/engine/pending.rs
+++ b/limiter/src/engine/pending.rs
@@ -14,26 +14,27 @@
 /// The times until which a request must be answered.
 #[derive(Debug, Clone, Copy)]
 pub struct Deadlines {
-    /// The client abandons the request at this time, as far as the arrival of the request is known.
+    /// Time at which the client abandons the request, if the request arrived when it was read.
     pub deadline: Millis,
-    /// The earliest time at which the client may abandon the request. Servers must not be given a later time.
+    /// Earliest time at which the client may abandon the request, since the request may have arrived before
+    /// it was read. Servers must not be given a later time.
     pub server_deadline: Millis,
 }
 
 /// A request that waits for its final response.
-struct SubmittedRequest {
+struct PendingRequest {
     content: Rc<ForwardedRequest>,
     response: oneshot::Sender<FinalResponse>,
     deadlines: Deadlines,
     client: Rc<dyn ClientConnection>,
-    /// Number of attempts that were begun.
+    /// Number of attempts so far, including those that were not sent.
     num_attempts: u32,
     has_attempt_in_flight: bool,
 }
 
 /// A request that was inserted, and the receiver of its final response.
 pub struct InsertedRequest {
-    /// Number of the request.
+    /// The id that was assigned to the request.
     pub id: RequestId,
     /// Receives the final response.
     pub response: oneshot::Receiver<FinalResponse>,
@@ -46,22 +47,22 @@
     cancel: oneshot::Sender<Outcome>,
 }
 
-/// An attempt that may be made.
+/// The next attempt of a request, before it is started.
 pub struct NewAttempt {
-    /// Number of the attempt and its request.
+    /// The request and the number of the attempt.
     pub id: AttemptId,
     /// The request that is forwarded.
     pub content: Rc<ForwardedRequest>,
     /// The times until which the request must be answered.
     pub deadlines: Deadlines,
-    /// Whether another attempt of the same request is in flight. If so, this attempt must not be made.
+    /// Whether another attempt of the same request is in flight. If so, this attempt must not be started.
     pub another_in_flight: bool,
 }
 
-/// All requests that wait for their final response, by number and by correlation id.
+/// All requests that wait for their final response, by id and by correlation id, and all attempts in flight.
 #[derive(Default)]
 pub struct PendingRequests {
-    requests: HashMap<RequestId, SubmittedRequest>,
+    requests: HashMap<RequestId, PendingRequest>,
     correlation_ids: HashSet<HeaderValue>,
     in_flight: HashMap<AttemptId, InFlightAttempt>,
     next_id: RequestId,
@@ -81,7 +82,7 @@
         let id = self.next_id;
         self.next_id = self.next_id.wrapping_add(1);
         let (sender, receiver) = oneshot::channel();
-        let request = SubmittedRequest {
+        let request = PendingRequest {
             content: Rc::new(content),
             response: sender,
             deadlines,
@@ -113,15 +114,15 @@
         self.take(id).is_some()
     }
 
-    /// Gives a request its one final response. Returns whether the request was pending. The response is lost
-    /// if the client has disconnected.
+    /// Sends a request its final response, and removes the request. Returns whether the request was pending.
+    /// The response is lost if the client has disconnected.
     pub fn respond(&mut self, id: RequestId, response: FinalResponse) -> bool {
         let Some(request) = self.take(id) else { return false };
         let _ = request.response.send(response);
         true
     }
 
-    fn take(&mut self, id: RequestId) -> Option<SubmittedRequest> {
+    fn take(&mut self, id: RequestId) -> Option<PendingRequest> {
         let request = self.requests.remove(&id)?;
         self.correlation_ids.remove(&request.content.correlation_id);
         Some(request)
@@ -167,9 +168,9 @@
         self.in_flight.contains_key(&id)
     }
 
-    /// Asks an attempt to close its connection and then to end with this outcome. Only the first call for an
-    /// attempt has an effect. The attempt stays in flight until its end is recorded, so that no other
-    /// attempt of the request begins before its connection is closed.
+    /// Cancels an attempt: the attempt closes its connection and ends with this outcome. Only the first call
+    /// for an attempt has an effect. The attempt stays in flight until its end is recorded, so that no other
+    /// attempt of the request begins before the connection is closed.
     pub fn cancel_attempt(&mut self, id: AttemptId, outcome: Outcome) {
         if let Some(attempt) = self.in_flight.get_mut(&id) {
             // A sender can be used once. The placeholder that replaces the sender has no receiver, so that
--- a/limiter/src/engine/pending_response.rs
+++ b/limiter/src/engine/pending_response.rs
@@ -8,8 +8,8 @@
 use super::Engine;
 use crate::messages::request::FinalResponse;
 
-/// A submitted request whose final response is awaited. Dropping it before the final response counts as a
-/// disconnect of the client; dropping it afterwards has no effect.
+/// The receiver of a submitted request's final response. Dropping it before the final response is sent
+/// records a disconnect of the client; dropping it afterwards has no effect.
 pub struct PendingResponse {
     engine: Rc<Engine>,
     id: RequestId,
@@ -22,7 +22,7 @@
         PendingResponse { engine, id, response }
     }
 
-    /// Waits for the final response. Cancelling drops `self`, which counts as a disconnect of the client.
+    /// Waits for the final response. Cancelling drops `self`, which records a disconnect of the client.
     pub async fn wait(mut self) -> FinalResponse {
         (&mut self.response).await.unwrap_or(FinalResponse::Failed)
     }
--- a/limiter/src/engine/ports.rs
+++ b/limiter/src/engine/ports.rs
@@ -1,5 +1,5 @@
-//! The traits through which the engine calls the layers around it. Those layers name the engine; the engine
-//! names none of them.
+//! The traits through which the engine calls the layers around it. Those layers depend on the engine; the
+//! engine depends on none of them.
 
 use std::rc::Rc;
 
@@ -9,7 +9,7 @@
 use super::Engine;
 use crate::messages::attempt::AttemptJob;
 
-/// Makes attempts at servers.
+/// Executes attempts at servers.
 pub trait Upstream {
     /// Starts an attempt without waiting for its end, which is reported to [`Engine::record_attempt_end`].
     /// When `cancelled` yields an outcome, the attempt closes its connection first and then ends with that
@@ -22,7 +22,8 @@
 
 /// The connection of a client whose request is pending.
 pub trait ClientConnection {
-    /// Returns whether the client has closed the connection. Reads the socket itself.
+    /// Returns whether the client has closed the connection. Reads the socket, in case a close has arrived
+    /// that was not read yet.
     fn is_closed_by_client(&self) -> bool;
 }
 
--- a/limiter/src/engine/readiness.rs
+++ b/limiter/src/engine/readiness.rs
@@ -1,27 +1,27 @@
-//! Whether clients may send requests to this process.
+//! Readiness: whether clients may send requests to this process.
 
 use limiter_core::Millis;
 
 use super::Engine;
 
 /// Time in milliseconds after which a new process is ready even if neither discovery nor the configuration
-/// has named a serving server. A fleet that was restarted while discovery is down has to answer its clients,
-/// if only with advice on when to retry.
+/// has listed a serving server. A fleet that was restarted while discovery is down has to answer its clients,
+/// even if the responses only advise when to retry.
 const MAX_STARTUP_MS: Millis = 5000.0;
 
 impl Engine {
-    /// Returns whether this process should receive requests: it is not shutting down, and can serve requests
-    /// or has waited long enough for a server.
+    /// Returns whether this process should receive requests: the process is not shutting down, and can serve
+    /// requests or has waited long enough for a serving server.
     pub fn is_ready(&self) -> bool {
         if self.is_shutting_down.get() {
             return false;
         }
-        self.has_waited_for_servers() || (self.has_endpoint_list() && self.can_serve())
+        self.has_startup_timed_out() || (self.has_endpoint_list() && self.can_serve())
     }
 
-    /// Returns whether no list with a serving server was ever installed, and the longest time for a startup
-    /// is over.
-    fn has_waited_for_servers(&self) -> bool {
+    /// Returns whether the startup has timed out: [`MAX_STARTUP_MS`] have passed, and no list with a
+    /// serving server was ever installed.
+    fn has_startup_timed_out(&self) -> bool {
         let ever_had_serving = self.state.borrow().endpoints.ever_had_serving();
         !ever_had_serving && self.clock.age_ms() > MAX_STARTUP_MS
     }
--- a/limiter/src/engine/submission.rs
+++ b/limiter/src/engine/submission.rs
@@ -1,4 +1,4 @@
-//! Requests of clients: their submission, and disconnects of their clients.
+//! Submission of client requests, and disconnects of their clients.
 
 use std::rc::Rc;
 
@@ -13,15 +13,18 @@
 use crate::runtime::arrival::Arrival;
 use crate::runtime::duration;
 
-/// A request with the same correlation id is pending: a server could not distinguish the two.
+/// Why a request was not submitted: a request with the same correlation id is pending, and a server could not
+/// distinguish the two.
 #[derive(Debug)]
 pub struct DuplicateRequest;
 
 impl Engine {
-    /// Submits a client's request. `arrival` is the arrival of the last byte of the request, which may have
-    /// waited since then in the read-ahead buffer. The deadline of the request counts from the moment at
-    /// which that byte was read. The deadline that servers are given counts from the earliest moment at
-    /// which the byte may have arrived, which is earlier after a stall of the process.
+    /// Submits a client's request.
+    ///
+    /// `arrival` is the arrival of the last byte of the request, which may have waited in the read-ahead
+    /// buffer since. The deadline of the request is measured from the time at which that byte was read. The
+    /// deadline that servers are given is measured from the earliest time at which the byte may have arrived.
+    /// After a stall of the process, that time is earlier.
     ///
     /// # Errors
     /// [`DuplicateRequest`] if a request with the same correlation id is pending.
@@ -51,7 +54,8 @@
     }
 
     /// Returns whether the client of a request still waits for its response. Reads the client's socket,
-    /// because a disconnect may not have been read yet if the process stalled.
+    /// because a disconnect may not have been read yet if the process stalled, and records a disconnect that
+    /// it finds.
     pub fn is_client_waiting(self: &Rc<Self>, id: RequestId) -> bool {
         let Some(client) = self.state.borrow().pending.client(id) else { return false };
         let is_closed = client.is_closed_by_client();
@@ -61,8 +65,8 @@
         !is_closed
     }
 
-    /// Records that the client of a request has disconnected. Has no effect if the request has its final
-    /// response.
+    /// Records that the client of a request has disconnected. Has no effect if the request is no longer
+    /// pending.
     pub(super) fn record_client_disconnect(self: &Rc<Self>, id: RequestId) {
         let mut state = self.state.borrow_mut();
         if state.pending.remove(id) {
--- a/limiter/src/engine/timer_queue.rs
+++ b/limiter/src/engine/timer_queue.rs
@@ -1,4 +1,4 @@
-//! Timers in the order in which they fire.
+//! The queue of timers, in the order in which they fire.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -10,11 +10,11 @@
 /// The purpose of a timer. Timers that are due at the same time fire in the order of these variants.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum TimerKind {
-    /// The core has set the timer.
-    Decision(TimerToken),
-    /// The deadline of the client passes while an attempt is in flight.
+    /// A timer that the core has set.
+    Core(TimerToken),
+    /// The deadline of a request, for an attempt in flight: the attempt is cancelled.
     AttemptTimeout(AttemptId),
-    /// The deadline of a request passes: the client abandons the request.
+    /// The deadline of a request, for the request itself: the client abandons the request.
     Deadline(RequestId),
 }
 
@@ -30,8 +30,8 @@
 
 /// Microseconds in a millisecond.
 const MICROS_PER_MILLI: f64 = 1000.0;
-/// Value of [`TimerQueue::armed_us`] while the waiting task waits for no time.
-const NOT_ARMED: u64 = u64::MAX;
+/// Value of [`TimerQueue::wake_up_us`] while the waiting task sleeps without a time at which it wakes up.
+const NO_WAKE_UP: u64 = u64::MAX;
 
 /// A timer in the queue; ordered by time, then by kind.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -41,48 +41,48 @@
     kind: TimerKind,
 }
 
-/// Timers by the time at which they fire, in whole microseconds, and the time at which the waiting task wakes
-/// up.
+/// Timers by the time at which they fire, in whole microseconds, and the time at which the task that waits
+/// for them wakes up.
 pub struct TimerQueue {
     timers: BinaryHeap<Reverse<QueuedTimer>>,
-    /// The time in microseconds for which the waiting task sleeps.
-    armed_us: u64,
+    /// The time at which the waiting task wakes up, in microseconds of the core's clock.
+    wake_up_us: u64,
 }
 
 impl TimerQueue {
     /// Creates an empty queue.
     pub fn new() -> TimerQueue {
-        TimerQueue { timers: BinaryHeap::new(), armed_us: NOT_ARMED }
+        TimerQueue { timers: BinaryHeap::new(), wake_up_us: NO_WAKE_UP }
     }
 
     /// Adds a timer. Returns whether the timer fires before the waiting task wakes up.
     pub fn insert(&mut self, at: Millis, kind: TimerKind) -> bool {
         let at_us = (at * MICROS_PER_MILLI).ceil() as u64;
         self.timers.push(Reverse(QueuedTimer { at_us, kind }));
-        at_us < self.armed_us
+        at_us < self.wake_up_us
     }
 
-    /// Removes and returns the next timer if it is due. Otherwise records that the caller sleeps until the
-    /// timer is due.
+    /// Removes and returns the next timer if it is due. Otherwise records that the waiting task sleeps until
+    /// the timer is due.
     pub fn next(&mut self, now: Millis) -> NextTimer {
         let Some(Reverse(QueuedTimer { at_us, kind })) = self.timers.peek().copied() else {
-            self.armed_us = NOT_ARMED;
+            self.wake_up_us = NO_WAKE_UP;
             return NextTimer::None;
         };
         if now * MICROS_PER_MILLI < at_us as f64 {
-            self.armed_us = at_us;
+            self.wake_up_us = at_us;
             return NextTimer::At(at_us as f64 / MICROS_PER_MILLI);
         }
         self.timers.pop();
         NextTimer::Due(kind)
     }
 
-    /// Drops timers that serve no purpose any more from the front of the queue. Returns whether there were
-    /// any. Most requests finish long before their timeouts, and each such timer would wake up an idle
-    /// process.
-    pub fn drop_stale(&mut self, is_live: impl Fn(TimerKind) -> bool) -> bool {
+    /// Drops stale timers from the front of the queue: those that are not needed any longer. Returns whether
+    /// any timer was dropped. Most requests finish long before their timeouts, and each stale timer would
+    /// wake up an idle process.
+    pub fn drop_stale(&mut self, is_timer_needed: impl Fn(TimerKind) -> bool) -> bool {
         let num_before = self.timers.len();
-        while self.timers.peek().is_some_and(|Reverse(timer)| !is_live(timer.kind)) {
+        while self.timers.peek().is_some_and(|Reverse(timer)| !is_timer_needed(timer.kind)) {
             self.timers.pop();
         }
         self.timers.len() < num_before
--- a/limiter/src/engine/timers.rs
+++ b/limiter/src/engine/timers.rs
@@ -1,4 +1,4 @@
-//! The engine's timers: timers of the decisions and of the engine itself, fired when they are due.
+//! Sets timers, those of the core and those of the engine itself, and fires them when they are due.
 
 use std::rc::Rc;
 
@@ -35,8 +35,8 @@
         }
     }
 
-    /// Records an iteration of the event loop. After a stall, reads what arrived during the stall, so that
-    /// timers do not decide as if it had not arrived.
+    /// Records an iteration of the event loop. After a stall, waits until the input that arrived during the
+    /// stall is read, so that no timer fires before that input is handled.
     async fn catch_up_after_stall(&self) {
         let Some(stall) = self.arrival_clock.record_iteration() else { return };
         self.metrics.process_stalls.inc();
@@ -45,29 +45,29 @@
         read_pending_input(num_pending).await;
     }
 
-    /// Fires the timers that are due, and returns when the next timer is due.
+    /// Fires the timers that are due, and returns the time at which the next timer is due.
     fn fire_due_timers(self: &Rc<Self>) -> Option<Millis> {
         let mut state = self.state.borrow_mut();
         loop {
             match state.timers.next(self.now()) {
-                NextTimer::Due(kind) => self.fire(&mut state, kind),
+                NextTimer::Due(kind) => self.fire_timer(&mut state, kind),
                 NextTimer::At(at) => return Some(at),
                 NextTimer::None => return None,
             }
         }
     }
 
-    fn fire(self: &Rc<Self>, state: &mut State, kind: TimerKind) {
+    fn fire_timer(self: &Rc<Self>, state: &mut State, kind: TimerKind) {
         match kind {
-            TimerKind::Decision(token) => state.events.push_back(Event::TimerFired { token }),
+            TimerKind::Core(token) => state.events.push_back(Event::TimerFired { token }),
             TimerKind::AttemptTimeout(id) => state.pending.cancel_attempt(id, Outcome::TimedOut),
             TimerKind::Deadline(id) => self.fail_at_deadline(state, id),
         }
         self.handle_queued_events(state);
     }
 
-    /// Fails a request that is still pending at its deadline. This is a backstop: the core ends its requests
-    /// before their deadlines. Nothing is sent for the request afterwards.
+    /// Fails a request that is still pending at its deadline. This is a safeguard: the core ends requests
+    /// before their deadlines. Nothing more is sent for the request afterwards.
     fn fail_at_deadline(&self, state: &mut State, id: RequestId) {
         if state.pending.respond(id, FinalResponse::Failed) {
             tracing::warn!(request = id, "request failed at deadline");
