--- a/limiter/src/engine/endpoint_updates.rs
+++ b/limiter/src/engine/endpoint_updates.rs
@@ -58,7 +58,7 @@
 
     /// Returns whether the installed list is treated as current: discovery has announced a list, or the time
     /// for discovery and then the time for the peers to answer has passed.
-    pub(super) fn has_endpoint_list(&self) -> bool {
+    pub(super) fn is_endpoint_list_current(&self) -> bool {
         let max_wait_ms = self.discovery_timeout_ms() + TOMBSTONE_POLL_TIMEOUT_MS;
         self.discovery_has_announced.get() || self.clock.age_ms() > max_wait_ms
     }
