--- a/limiter-core/tests/ceilings.rs
+++ b/limiter-core/tests/ceilings.rs
@@ -202,7 +202,7 @@
     fn new(seed: u64) -> Self {
         let mut network = TestNetwork::new(UNRELIABLE_LIMITERS, UNRELIABLE_SERVERS, seed);
         let mut rng = fastrand::Rng::with_seed(seed);
-        network.loss = 0.3 * rng.f64();
+        network.loss_probability = 0.3 * rng.f64();
         network.delay_ms = 1.0..[20.0, 200.0, 700.0][rng.usize(0..3)];
         let ceiling = ReferenceBucket::full_ceiling_of(&settings(0).plans[WITH_CEILING], network.now);
         UnreliableNetwork {
--- a/limiter-core/tests/common/fixtures.rs
+++ b/limiter-core/tests/common/fixtures.rs
@@ -23,7 +23,7 @@
 /// Number of limiters in a deployment with [`settings`].
 pub const LIMITERS: u32 = 3;
 
-/// A class with a latency objective of 1 s and a deduplication window of 3 s over all servers.
+/// Returns a class with a latency objective of 1 s and a deduplication window of 3 s over all servers.
 fn class(idempotency: Idempotency, late_value: f64) -> RequestClass {
     RequestClass {
         latency_objective_ms: 1000.0,
@@ -44,7 +44,7 @@
     ceiling_slack: 0.0,
 };
 
-/// The classes of [`settings`], in the order of their indexes. A late response has no value.
+/// Returns the classes of [`settings`], in the order of their indexes. A late response has no value.
 fn classes() -> Vec<RequestClass> {
     vec![
         class(Idempotency::Idempotent, 0.0),
@@ -53,7 +53,7 @@
     ]
 }
 
-/// The plans of [`settings`], in the order of their indexes.
+/// Returns the plans of [`settings`], in the order of their indexes.
 fn plans() -> Vec<Plan> {
     let with_rate = Plan { rate: 6.0, burst: 12.0, ..NO_QUOTA };
     // The rate quota is far above the ceiling, so that only the ceiling is tested.
@@ -69,7 +69,8 @@
     vec![with_rate, with_ceiling, with_max_in_flight, NO_QUOTA]
 }
 
-/// Settings of one of three limiters. The constants above are the indexes of the classes and plans.
+/// Returns the settings of one of three limiters. The constants above are the indexes of the classes and
+/// plans.
 pub fn settings(position: u32) -> Settings {
     Settings {
         limiters: LIMITERS,
@@ -92,22 +93,22 @@
     }
 }
 
-/// Settings of one of `limiters` limiters.
+/// Returns the settings of one of `limiters` limiters.
 pub fn settings_among(limiters: u32, position: u32) -> Settings {
     Settings { limiters, ..settings(position) }
 }
 
-/// Settings of the only limiter of a deployment.
+/// Returns the settings of the only limiter of a deployment.
 pub fn settings_of_only_limiter() -> Settings {
     settings_among(1, 0)
 }
 
-/// The id of server `n`.
+/// Returns the id of server `n`.
 pub fn server(n: u32) -> ServerId {
     Arc::from(format!("10.0.0.{n}:80"))
 }
 
-/// A serving server that started long ago.
+/// Returns a serving server that started long ago.
 pub fn endpoint(n: u32) -> Endpoint {
     Endpoint {
         server: server(n),
@@ -119,17 +120,18 @@
     }
 }
 
-/// A server that is draining.
+/// Returns a server that is draining.
 pub fn draining(n: u32) -> Endpoint {
     Endpoint { state: EndpointState::Draining, ..endpoint(n) }
 }
 
-/// A serving server that started at a given time.
+/// Returns a serving server that started at a given time.
 pub fn started_at(n: u32, started_at: Millis) -> Endpoint {
     Endpoint { started_at, ..endpoint(n) }
 }
 
-/// A request of one unit. The customer is always the same, and all three limiters are members of its quota.
+/// Returns a request of one unit. The customer is always the same, and all three limiters are members of its
+/// quota.
 pub fn request(id: RequestId, class: usize, plan: usize) -> Request {
     Request {
         id,
@@ -144,18 +146,18 @@
     }
 }
 
-/// The event that an attempt has ended. Only a good response finishes the request.
+/// Returns the event that an attempt has ended. Only a good response finishes the request.
 pub fn attempt_ended(id: RequestId, attempt: u32, outcome: Outcome, elapsed_ms: Millis) -> Event {
     let request_finished = outcome == Outcome::Ok;
     Event::AttemptEnded { id, attempt, outcome, elapsed_ms, request_finished, actual_units: None }
 }
 
-/// The event that discovery has announced these servers, and that all other servers are unchanged.
+/// Returns the event that discovery has announced these servers, and that all other servers are unchanged.
 pub fn endpoints_changed(endpoints: Vec<Endpoint>) -> Event {
     Event::EndpointsChanged { complete: false, endpoints: endpoints.into() }
 }
 
-/// The event that discovery has announced the complete endpoint list.
+/// Returns the event that discovery has announced the complete endpoint list.
 pub fn endpoints_replaced(endpoints: Vec<Endpoint>) -> Event {
     Event::EndpointsChanged { complete: true, endpoints: endpoints.into() }
 }
--- a/limiter-core/tests/common/reference_bucket.rs
+++ b/limiter-core/tests/common/reference_bucket.rs
@@ -2,7 +2,8 @@
 
 use limiter_core::*;
 
-/// The true bucket of a quota or ceiling. Tests take the units of each forwarded request from it.
+/// The exact token bucket of a quota or ceiling over all limiters. Tests take the units of each forwarded
+/// request from this bucket.
 #[derive(Debug, Clone)]
 pub struct ReferenceBucket {
     rate: f64,
@@ -39,10 +40,10 @@
     /// Takes units if the bucket holds them, and returns whether it did.
     pub fn try_take(&mut self, units: f64, now: Millis) -> bool {
         self.refill(now);
-        let is_enough = self.level >= units;
-        if is_enough {
+        let has_enough = self.level >= units;
+        if has_enough {
             self.level -= units;
         }
-        is_enough
+        has_enough
     }
 }
--- a/limiter-core/tests/common/test_fleet.rs
+++ b/limiter-core/tests/common/test_fleet.rs
@@ -6,8 +6,8 @@
 
 use super::{attempt_ended, endpoints_changed, server, settings_among, take_due, LimiterAction, TestNetwork};
 
-/// Added to the id of a request for each retry by its client, because a retry is a new request for the
-/// limiters.
+/// Number that is added to the id of a request for each retry by its client. A retry has to have a new id,
+/// because the limiters handle it as a new request.
 pub const CLIENT_RETRY_ID_STEP: RequestId = 1_000_000;
 /// Shortest backoff of a client before a retry.
 const CLIENT_BACKOFF_MS: Millis = 100.0;
@@ -18,7 +18,7 @@
 const SERVICE_TIME_MS: Millis = 100.0;
 /// Time after which a full server rejects a request.
 const REJECTION_TIME_MS: Millis = 5.0;
-/// Window over which a server counts the requests that it has accepted.
+/// Window over which a server counts accepted requests to decide whether it is full.
 const CAPACITY_WINDOW_MS: Millis = 1000.0;
 
 /// Step by which the clock of the fleet advances.
@@ -26,7 +26,7 @@
 
 /// An attempt that a limiter forwarded.
 pub struct ForwardedAttempt {
-    pub at: Millis,
+    pub forwarded_at: Millis,
     pub id: RequestId,
     pub server: ServerId,
     /// Whether the server was full and rejected the attempt.
@@ -48,7 +48,7 @@
     id: RequestId,
 }
 
-/// A fleet in front of servers that respond after a fixed time. Records all forwarded attempts.
+/// A fleet in front of servers that respond after a fixed time. The fleet records all forwarded attempts.
 pub struct TestFleet {
     pub network: TestNetwork,
     rng: fastrand::Rng,
@@ -56,8 +56,8 @@
     /// Requests per second that each server accepts. Further requests are rejected.
     pub server_capacity_per_s: f64,
     last_id: RequestId,
-    /// Bound on the submissions of one request by its client, including the first. Each submission goes to a
-    /// random member.
+    /// Largest number of times that a client submits one request, including the first time. Each submission
+    /// goes to a random member.
     pub max_client_attempts: u32,
     client_retries: Vec<ClientRetry>,
     /// Number of attempts forwarded for each request.
@@ -92,16 +92,16 @@
         }
     }
 
-    /// Lets a limiter handle an event, and lets servers and clients react to its actions.
+    /// Passes an event to a limiter, and simulates how servers and clients react to its actions.
     pub fn handle(&mut self, limiter: usize, event: Event) {
         let actions = self.network.handle(limiter, event);
         for action in actions {
-            self.apply(limiter, action);
+            self.simulate_reaction(limiter, action);
         }
     }
 
-    /// Lets a client or a server react to an action.
-    fn apply(&mut self, limiter: usize, action: Action) {
+    /// Simulates how a client or a server reacts to an action.
+    fn simulate_reaction(&mut self, limiter: usize, action: Action) {
         match action {
             Action::Reject { id, .. } if id / CLIENT_RETRY_ID_STEP + 1 < self.max_client_attempts => {
                 let backoff_ms = CLIENT_BACKOFF_MS + CLIENT_BACKOFF_JITTER_MS * self.rng.f64();
@@ -127,7 +127,7 @@
             rejected,
         });
         *num_attempts += 1;
-        self.forwarded.push(ForwardedAttempt { at: now, id, server, rejected });
+        self.forwarded.push(ForwardedAttempt { forwarded_at: now, id, server, rejected });
     }
 
     /// Returns whether a server has accepted as many requests as its capacity allows.
@@ -136,7 +136,8 @@
             return false;
         }
         let now = self.network.now;
-        let recent = self.forwarded.iter().rev().take_while(|attempt| now - attempt.at < CAPACITY_WINDOW_MS);
+        let recent =
+            self.forwarded.iter().rev().take_while(|attempt| now - attempt.forwarded_at < CAPACITY_WINDOW_MS);
         let accepted = recent.filter(|attempt| !attempt.rejected && attempt.server == *server).count();
         accepted as f64 >= self.server_capacity_per_s
     }
@@ -148,18 +149,19 @@
         }
     }
 
-    /// Restarts a limiter. Responses to the old process are lost.
+    /// Restarts a limiter. Outstanding responses to its old process are lost.
     pub fn restart(&mut self, limiter: usize, settings: Settings, servers: u32, seed: u64) {
         self.pending_responses.retain(|response| response.limiter != limiter);
         self.network.restart(limiter, settings, servers, seed);
     }
 
-    /// Returns the number of attempts forwarded since a given time to the servers whose number `which`
+    /// Returns the number of attempts forwarded since a given time to the servers whose number `is_selected`
     /// accepts.
-    pub fn num_forwarded_to(&self, from: Millis, which: impl Fn(u32) -> bool) -> usize {
-        let servers: Vec<ServerId> = (0..200).filter(|n| which(*n)).map(server).collect();
-        let counts = |attempt: &&ForwardedAttempt| attempt.at >= from && servers.contains(&attempt.server);
-        self.forwarded.iter().filter(counts).count()
+    pub fn num_forwarded_to(&self, since: Millis, is_selected: impl Fn(u32) -> bool) -> usize {
+        let servers: Vec<ServerId> = (0..200).filter(|n| is_selected(*n)).map(server).collect();
+        let is_counted =
+            |attempt: &&ForwardedAttempt| attempt.forwarded_at >= since && servers.contains(&attempt.server);
+        self.forwarded.iter().filter(is_counted).count()
     }
 
     /// Submits evenly spaced requests, each to a random member, and advances the clock. Returns the number of
@@ -172,14 +174,14 @@
             while next_arrival <= self.network.now {
                 next_arrival += 1000.0 / requests_per_s;
                 self.last_id += 1;
-                self.submit_at_any_member(request(self.last_id));
+                self.submit_at_random_member(request(self.last_id));
             }
             let now = self.network.now;
             for retry in take_due(&mut self.client_retries, |retry| retry.due_at <= now) {
-                self.submit_at_any_member(request(retry.id));
+                self.submit_at_random_member(request(retry.id));
             }
             for LimiterAction { limiter, action } in self.network.advance(STEP_MS) {
-                self.apply(limiter, action);
+                self.simulate_reaction(limiter, action);
             }
             self.deliver_due_responses();
         }
@@ -187,13 +189,13 @@
     }
 
     /// Submits a request to a random member of its customer's quota.
-    fn submit_at_any_member(&mut self, request: Request) {
+    fn submit_at_random_member(&mut self, request: Request) {
         let member = request.first_member + self.rng.u32(0..request.member_count);
         let limiter = member as usize % self.network.limiters.len();
         self.handle(limiter, Event::RequestArrived(request));
     }
 
-    /// Reports the ends of all attempts whose responses are due.
+    /// Reports to the limiters the ends of all attempts whose responses are due.
     fn deliver_due_responses(&mut self) {
         let now = self.network.now;
         for response in take_due(&mut self.pending_responses, |response| response.due_at <= now) {
--- a/limiter-core/tests/common/test_limiter.rs
+++ b/limiter-core/tests/common/test_limiter.rs
@@ -4,9 +4,9 @@
 
 use super::{attempt_ended, endpoint, endpoints_changed, endpoints_replaced};
 
-/// How long a cancelled attempt is reported to have taken.
+/// Duration in milliseconds that is reported for a cancelled attempt.
 const CANCELLED_ATTEMPT_MS: Millis = 1000.0;
-/// When limiters start by default.
+/// Time at which limiters start by default.
 const START_MS: Millis = 100_000.0;
 
 /// A timer that the limiter has started.
@@ -36,7 +36,7 @@
         TestLimiter::of(Limiter::new(settings, seed, now).expect("valid settings"), now)
     }
 
-    /// Wraps a limiter that starts now.
+    /// Adds a clock and timers to a limiter that starts now.
     pub fn of(limiter: Limiter, now: Millis) -> Self {
         TestLimiter { limiter, now, timers: Vec::new() }
     }
@@ -50,7 +50,8 @@
         started
     }
 
-    /// Handles an event and returns the actions, without those that start timers and log ejections.
+    /// Passes an event to the limiter and returns the actions, except those that start timers or log
+    /// ejections.
     pub fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.limiter.handle(self.now, event, &mut actions);
@@ -60,27 +61,28 @@
             }
         }
         actions.retain(|action| !matches!(action, Action::SetTimer { .. } | Action::LogEjection(_)));
-        for event in ends_of_cancelled(&actions) {
+        for event in ends_of_cancelled_attempts(&actions) {
             actions.extend(self.handle(event));
         }
         actions
     }
 
-    /// Returns the number of timers that still have a purpose.
-    pub fn num_live_timers(&self) -> usize {
+    /// Returns the number of started timers that may still have an effect.
+    pub fn num_needed_timers(&self) -> usize {
         self.timers.iter().filter(|timer| self.limiter.is_timer_needed(timer.token)).count()
     }
 
-    /// Advances the clock. The timers that become due fire in the order of their times.
+    /// Advances the clock, fires the timers that become due in the order of their times, and returns the
+    /// actions.
     pub fn advance(&mut self, ms: Millis) -> Vec<Action> {
         let end = self.now + ms;
         let mut actions = Vec::new();
-        while let Some(timer) = self.next_timer(end) {
+        while let Some(timer) = self.take_next_timer(end) {
             self.now = self.now.max(timer.due_at);
-            // A caller may drop a timer that is not live, so such a timer must have no effect.
-            let is_live = self.limiter.is_timer_needed(timer.token);
+            // A caller may drop a timer that is not needed, so such a timer must have no effect.
+            let is_needed = self.limiter.is_timer_needed(timer.token);
             let effects = self.handle(Event::TimerFired { token: timer.token });
-            assert!(is_live || effects.is_empty(), "a timer that was not live led to {effects:?}");
+            assert!(is_needed || effects.is_empty(), "a timer that was not needed led to {effects:?}");
             actions.extend(effects);
         }
         self.now = end;
@@ -88,7 +90,7 @@
     }
 
     /// Removes and returns the earliest timer that is due by a given time.
-    fn next_timer(&mut self, until: Millis) -> Option<Timer> {
+    fn take_next_timer(&mut self, until: Millis) -> Option<Timer> {
         let by_time = |a: &usize, b: &usize| self.timers[*a].due_at.total_cmp(&self.timers[*b].due_at);
         let next = (0..self.timers.len()).min_by(by_time)?;
         let is_due = self.timers[next].due_at <= until;
@@ -132,8 +134,8 @@
     }
 }
 
-/// Returns the ends of the attempts that were cancelled, as the program reports them.
-fn ends_of_cancelled(actions: &[Action]) -> Vec<Event> {
+/// Returns the events by which the program reports the ends of the cancelled attempts.
+fn ends_of_cancelled_attempts(actions: &[Action]) -> Vec<Event> {
     let end = |action: &Action| match action {
         Action::CancelAttempt { id, attempt } => {
             Some(attempt_ended(*id, *attempt, Outcome::Cancelled, CANCELLED_ATTEMPT_MS))
--- a/limiter-core/tests/common/test_network.rs
+++ b/limiter-core/tests/common/test_network.rs
@@ -8,10 +8,10 @@
 
 /// Step in milliseconds by which the clock of the network advances.
 const STEP_MS: Millis = 4.0;
-/// Bound on the bytes of a gossip message, according to the operators' protocol.
+/// Largest gossip message in bytes that the protocol between the limiters allows.
 const MAX_MESSAGE_BYTES: usize = 256;
 
-/// A gossip message that has been sent and not been delivered.
+/// A gossip message that has been sent but not delivered yet.
 struct Datagram {
     arrives_at: Millis,
     from: u32,
@@ -29,11 +29,11 @@
 
 /// Returns the number of forwarded attempts among the actions.
 pub fn num_forwarded(actions: &[LimiterAction]) -> usize {
-    actions.iter().filter(|done| matches!(done.action, Action::Forward { .. })).count()
+    actions.iter().filter(|entry| matches!(entry.action, Action::Forward { .. })).count()
 }
 
-/// Limiters on a network that delays messages at random, so that messages are reordered, and may lose
-/// messages.
+/// Limiters on a network that delays each message at random, so that messages are reordered, and that may
+/// lose messages.
 pub struct TestNetwork {
     /// The limiters by position.
     pub limiters: Vec<TestLimiter>,
@@ -41,7 +41,7 @@
     in_transit: Vec<Datagram>,
     rng: fastrand::Rng,
     /// Probability that a message is lost.
-    pub loss: f64,
+    pub loss_probability: f64,
     /// Bounds of the random delay of a message.
     pub delay_ms: Range<Millis>,
     /// For each limiter: the time until which its process is stalled and handles neither timers nor messages.
@@ -64,7 +64,7 @@
             now: limiters[0].now,
             in_transit: Vec::new(),
             rng: fastrand::Rng::with_seed(seed),
-            loss: 0.0,
+            loss_probability: 0.0,
             delay_ms: 2.0..10.0,
             stalled_until: vec![0.0; limiters.len()],
             messages_sent: 0,
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Sends the gossip among a limiter's actions over the network and returns the other actions.
+    /// Sends the gossip messages among a limiter's actions over the network and returns the other actions.
     fn transmit(&mut self, from: usize, actions: Vec<Action>) -> Vec<Action> {
         let mut others = Vec::new();
         for action in actions {
@@ -82,7 +82,7 @@
             };
             self.messages_sent += 1;
             assert!(body.len() <= MAX_MESSAGE_BYTES, "a message of {} bytes", body.len());
-            if self.rng.f64() >= self.loss {
+            if self.rng.f64() >= self.loss_probability {
                 let spread_ms = self.delay_ms.end - self.delay_ms.start;
                 let delay_ms = self.delay_ms.start + self.rng.f64() * spread_ms;
                 self.in_transit.push(Datagram {
@@ -96,7 +96,7 @@
         others
     }
 
-    /// Lets a limiter handle an event now, sends its gossip and returns its other actions.
+    /// Passes an event to a limiter now, sends its gossip and returns its other actions.
     pub fn handle(&mut self, limiter: usize, event: Event) -> Vec<Action> {
         let test_limiter = &mut self.limiters[limiter];
         test_limiter.now = test_limiter.now.max(self.now);
@@ -142,8 +142,8 @@
         all
     }
 
-    /// Advances one limiter to the network's time: fires its timers, then delivers the messages that have
-    /// arrived.
+    /// Advances one limiter to the time of the network: fires its timers, and afterwards delivers the
+    /// messages that have arrived.
     fn catch_up(&mut self, limiter: usize) -> Vec<Action> {
         let now = self.now;
         let elapsed_ms = (now - self.limiters[limiter].now).max(0.0);
--- a/limiter-core/tests/fleet.rs
+++ b/limiter-core/tests/fleet.rs
@@ -28,7 +28,7 @@
 #[test]
 fn a_quota_holds_over_eighty_members() {
     let mut fleet = TestFleet::new(FLEET_SIZE, 20, 1);
-    fleet.network.loss = 0.05;
+    fleet.network.loss_probability = 0.05;
     let quota = quota_over(8.0);
     let units = f64::from(fleet.run(30.0, 8.0, of_customer_with_80_members));
     assert!(units <= 1.15 * quota, "{units} units forwarded, {quota} allowed");
@@ -40,7 +40,7 @@
 #[test]
 fn eighty_members_without_owners_spend_about_the_quota() {
     let mut fleet = TestFleet::new(FLEET_SIZE, 20, 2);
-    fleet.network.loss = 1.0;
+    fleet.network.loss_probability = 1.0;
     let quota = quota_over(12.0);
     let units = f64::from(fleet.run(30.0, 12.0, of_customer_with_80_members));
     assert!(units <= 1.25 * quota, "{units} units forwarded, {quota} allowed");
@@ -112,9 +112,9 @@
     let mut fleet = TestFleet::new(200, 20, 5);
     fleet.max_client_attempts = 3;
     fleet.run(5000.0, 2.0, of_customer_inside_quota);
-    fleet.network.loss = 1.0;
+    fleet.network.loss_probability = 1.0;
     fleet.run(5000.0, 3.0, of_customer_inside_quota);
-    fleet.network.loss = 0.02;
+    fleet.network.loss_probability = 0.02;
     fleet.run(5000.0, 3.0, of_customer_inside_quota);
     let forwarded = fleet.run(5000.0, 2.0, of_customer_inside_quota);
     assert!(forwarded >= 9000, "{forwarded} of 10000 requests inside their quotas were forwarded");
@@ -126,7 +126,7 @@
 fn customers_inside_their_quota_are_served_while_all_owners_are_silent() {
     let mut fleet = TestFleet::new(200, 20, 7);
     fleet.run(3000.0, 2.0, of_customer_inside_quota);
-    fleet.network.loss = 1.0;
+    fleet.network.loss_probability = 1.0;
     fleet.run(3000.0, 1.0, of_customer_inside_quota);
     let messages_before = fleet.network.messages_sent;
     let forwarded = fleet.run(3000.0, 2.0, of_customer_inside_quota);
@@ -135,7 +135,7 @@
     // About four messages per second and limiter, which find out when the owners reply again, and a few more
     // until all owners count as silent.
     assert!(messages <= 200 * 2 * 8, "{messages} messages to owners that receive none");
-    fleet.network.loss = 0.0;
+    fleet.network.loss_probability = 0.0;
     fleet.run(3000.0, 1.0, of_customer_inside_quota);
     let messages_before = fleet.network.messages_sent;
     fleet.run(3000.0, 1.0, of_customer_inside_quota);
@@ -148,7 +148,7 @@
 fn a_greedy_customer_gains_little_while_all_owners_are_silent() {
     let mut fleet = TestFleet::new(FLEET_SIZE, 20, 8);
     fleet.run(60.0, 4.0, of_customer_with_80_members);
-    fleet.network.loss = 1.0;
+    fleet.network.loss_probability = 1.0;
     let units = f64::from(fleet.run(60.0, 6.0, of_customer_with_80_members));
     let quota = QUOTA_RATE * 6.0;
     assert!(units <= 3.0 * quota, "{units} units forwarded, {quota} allowed, ten times as much demanded");
@@ -198,7 +198,7 @@
     fn account_for(&mut self, attempts: &[ForwardedAttempt]) {
         for attempt in attempts {
             let customer = of_customer_on_a_quiet_day(attempt.id).customer;
-            if self.quotas[customer as usize].try_take(1.0, attempt.at) {
+            if self.quotas[customer as usize].try_take(1.0, attempt.forwarded_at) {
                 self.units_within += 1;
             } else {
                 self.units_beyond += 1;
@@ -214,7 +214,7 @@
     const LIMITERS: u32 = 300;
     const SERVERS: u32 = 60;
     let mut fleet = TestFleet::new(LIMITERS, SERVERS, 6);
-    fleet.network.loss = 0.05;
+    fleet.network.loss_probability = 0.05;
     // The quotas of 100 customers are 6 units per second each. Heavy customers demand 18 units per second
     // each.
     let requests_per_s = 600.0;
@@ -246,7 +246,7 @@
     let settings =
         |position| Settings { must_subscribe: true, ..settings_among(SUBSCRIBED_LIMITERS, position) };
     let mut fleet = TestFleet::with_settings(SUBSCRIBED_LIMITERS, 24, 9, settings);
-    fleet.network.loss = 0.05;
+    fleet.network.loss_probability = 0.05;
     fleet
 }
 
--- a/limiter-core/tests/properties/main.rs
+++ b/limiter-core/tests/properties/main.rs
@@ -28,15 +28,15 @@
         let mut network = ObservedNetwork::new();
         steps.into_iter().try_for_each(|step| network.apply(step))
     };
-    runner.run(&prop::collection::vec(any_step(), 1..150), apply_all).expect("an invariant is violated");
+    runner.run(&prop::collection::vec(any_step(), 1..150), apply_all).expect("an invariant was violated");
 }
 
 #[test]
-fn the_same_events_give_the_same_actions() {
+fn the_same_events_lead_to_the_same_actions() {
     assert_eq!(actions_of_fixed_run(), actions_of_fixed_run());
 }
 
-/// Runs a limiter with 400 requests, every fifth of which fails at first, and returns all actions.
+/// Runs a limiter with 400 requests, and returns all actions. The first attempt of every fifth request fails.
 fn actions_of_fixed_run() -> Vec<Action> {
     let mut limiter = TestLimiter::new(settings(0), 5);
     let mut actions = Vec::new();
@@ -63,7 +63,8 @@
     assert!(size < full_size / 3, "{size} of {full_size}");
 }
 
-/// Measures the state of a limiter by the length of its debug output, which contains every record.
+/// Returns the size of a limiter's state, measured as the length of its debug output, which contains every
+/// record.
 fn state_size(limiter: &TestLimiter) -> usize {
     format!("{:?}", limiter.limiter).len()
 }
--- a/limiter-core/tests/properties/network.rs
+++ b/limiter-core/tests/properties/network.rs
@@ -7,11 +7,12 @@
 use crate::observer::{Ceilings, Observer, SharedState};
 use crate::steps::{EndpointChange, Step, SERVERS};
 
-/// Time passes in steps of this length, so that each action is checked at the time at which it is made.
+/// Step in milliseconds by which the clock advances. The step is short, so that each action is checked at
+/// about the time at which it is made.
 const STEP_MS: u16 = 4;
-/// When a run begins.
+/// Time at which a run begins.
 const START_MS: Millis = 100_000.0;
-/// How long an attempt took whose end a step reports.
+/// Duration in milliseconds that a step reports with the end of an attempt.
 const ATTEMPT_MS: Millis = 30.0;
 
 /// A limiter and its observer.
@@ -20,7 +21,7 @@
     observer: Observer,
 }
 
-/// A gossip message on its way.
+/// A gossip message that has been sent but not delivered yet.
 struct GossipInTransit {
     from: u32,
     message: SentGossip,
@@ -58,21 +59,22 @@
     fn start(&self, position: u32) -> ObservedLimiter {
         let settings = Settings { position, ..self.settings.clone() };
         let mut limiter = TestLimiter::new(settings.clone(), 0);
-        // The control step of the limiter that is replaced here continues beside that of its successor.
+        // The control-step timer of the limiter that is replaced here stays set. The new limiter starts its
+        // own timer as well, so that its control steps are triggered by two timers.
         limiter.limiter = Limiter::new(settings, u64::from(position), self.now).expect("valid settings");
         limiter.now = self.now;
         limiter.replace_endpoints((0..SERVERS).map(endpoint).collect());
         ObservedLimiter { limiter, observer: Observer::new((0..SERVERS).map(server)) }
     }
 
-    /// Makes a limiter handle something, and checks its actions.
-    fn act(
+    /// Calls a limiter and checks the actions that it returns.
+    fn call_and_check(
         &mut self,
         limiter: usize,
-        act: impl FnOnce(&mut TestLimiter) -> Vec<Action>,
+        call: impl FnOnce(&mut TestLimiter) -> Vec<Action>,
     ) -> Result<Vec<Action>, TestCaseError> {
         let ObservedLimiter { limiter, observer } = &mut self.limiters[limiter];
-        let actions = act(limiter);
+        let actions = call(limiter);
         let mut shared =
             SharedState { settings: &self.settings, now: self.now, ceilings: &mut self.ceilings };
         observer.check(&actions, &mut shared)?;
@@ -101,31 +103,31 @@
                 Ok(())
             }
             Step::Disconnect { limiter, pick } => self.disconnect(limiter, pick),
-            Step::ReceiveNoise { limiter, from, body } => {
-                self.act(limiter, |limiter| limiter.receive_gossip(from, body))?;
+            Step::ReceiveArbitraryBytes { limiter, from, body } => {
+                self.call_and_check(limiter, |limiter| limiter.receive_gossip(from, body))?;
                 Ok(())
             }
         }
     }
 
     fn submit(&mut self, limiter: usize, request: Request) -> Result<(), TestCaseError> {
-        self.limiters[limiter].observer.submit(&request, self.now);
-        self.act(limiter, |limiter| limiter.submit(request))?;
+        self.limiters[limiter].observer.record_submission(&request, self.now);
+        self.call_and_check(limiter, |limiter| limiter.submit(request))?;
         Ok(())
     }
 
     fn end_attempt(&mut self, limiter: usize, pick: u16, outcome: Outcome) -> Result<(), TestCaseError> {
         let observer = &mut self.limiters[limiter].observer;
-        let Some(ended) = observer.end_picked_attempt(pick, outcome) else { return Ok(()) };
+        let Some(ended) = observer.record_end_of_picked_attempt(pick, outcome) else { return Ok(()) };
         let end =
             |limiter: &mut TestLimiter| limiter.end_attempt(ended.request, ended.number, outcome, ATTEMPT_MS);
-        self.act(limiter, end)?;
+        self.call_and_check(limiter, end)?;
         Ok(())
     }
 
     fn disconnect(&mut self, limiter: usize, pick: u16) -> Result<(), TestCaseError> {
-        let Some(id) = self.limiters[limiter].observer.disconnect(pick) else { return Ok(()) };
-        self.act(limiter, |limiter| limiter.handle(Event::ClientDisconnected { id }))?;
+        let Some(id) = self.limiters[limiter].observer.record_disconnect(pick) else { return Ok(()) };
+        self.call_and_check(limiter, |limiter| limiter.handle(Event::ClientDisconnected { id }))?;
         Ok(())
     }
 
@@ -136,23 +138,23 @@
         change: EndpointChange,
     ) -> Result<(), TestCaseError> {
         let state = change.state();
-        self.limiters[limiter].observer.change_server(server(n), state);
+        self.limiters[limiter].observer.record_endpoint_state(server(n), state);
         let started_at = match change {
             EndpointChange::Restarted => self.now,
             EndpointChange::Serving | EndpointChange::Draining | EndpointChange::Removed => 0.0,
         };
         let changed = Endpoint { state, started_at, ..endpoint(n) };
-        self.act(limiter, |limiter| limiter.change_endpoints(vec![changed]))?;
+        self.call_and_check(limiter, |limiter| limiter.change_endpoints(vec![changed]))?;
         Ok(())
     }
 
-    /// Advances the time in short steps. Gossip that is sent within this time arrives at its end.
+    /// Advances the clock in short steps. Gossip messages that are sent within `ms` arrive at the end of it.
     fn advance(&mut self, ms: u16) -> Result<(), TestCaseError> {
         let mut in_transit = Vec::new();
         for _ in 0..ms / STEP_MS {
             self.now += f64::from(STEP_MS);
             for position in 0..self.limiters.len() {
-                let actions = self.act(position, |limiter| limiter.advance(f64::from(STEP_MS)))?;
+                let actions = self.call_and_check(position, |limiter| limiter.advance(f64::from(STEP_MS)))?;
                 for message in sent_gossip(actions) {
                     in_transit.push(GossipInTransit { from: position as u32, message });
                 }
@@ -160,7 +162,7 @@
         }
         for GossipInTransit { from, message } in in_transit {
             let SentGossip { to, body } = message;
-            self.act(to as usize, |limiter| limiter.receive_gossip(from, body))?;
+            self.call_and_check(to as usize, |limiter| limiter.receive_gossip(from, body))?;
         }
         Ok(())
     }
--- a/limiter-core/tests/properties/observer.rs
+++ b/limiter-core/tests/properties/observer.rs
@@ -7,11 +7,11 @@
 
 use crate::common::ReferenceBucket;
 
-/// Time in milliseconds by which a final response may follow the deadline of its request.
+/// Time in milliseconds by which a final response may be late after the deadline of its request.
 const DEADLINE_TOLERANCE_MS: Millis = 16.0;
-/// Largest gossip message.
+/// Largest gossip message in bytes.
 const MAX_MESSAGE_BYTES: usize = 256;
-/// Units by which a ceiling may seem overdrawn because of rounding.
+/// Units by which a ceiling may appear to be overdrawn because of rounding.
 const CEILING_TOLERANCE_UNITS: f64 = 1e-6;
 
 /// A request that has no final response yet.
@@ -31,21 +31,21 @@
 /// The token buckets of the ceilings of all customers, over all limiters together.
 pub type Ceilings = BTreeMap<CustomerId, ReferenceBucket>;
 
-/// What all limiters of a run have in common at the time of a check.
+/// The state that all limiters of a run share, at the time of a check.
 pub struct SharedState<'a> {
     pub settings: &'a Settings,
     pub now: Millis,
     pub ceilings: &'a mut Ceilings,
 }
 
-/// Follows the requests and attempts of one limiter by its events and actions, and checks each action.
+/// Tracks the requests and attempts of one limiter from its events and actions, and checks each action.
 #[derive(Default)]
 pub struct Observer {
     open: BTreeMap<RequestId, OpenRequest>,
     attempts: BTreeSet<AttemptId>,
     num_attempts: BTreeMap<RequestId, u32>,
     in_flight: BTreeSet<RequestId>,
-    /// When the first attempt was forwarded that may have been executed, by request.
+    /// For each request, the time at which the first attempt that may have been executed was forwarded.
     may_have_executed: BTreeMap<RequestId, Millis>,
     forwarded_at: BTreeMap<RequestId, Millis>,
     not_serving: BTreeSet<ServerId>,
@@ -59,29 +59,29 @@
     }
 
     /// Records a request that is about to be submitted.
-    pub fn submit(&mut self, request: &Request, now: Millis) {
+    pub fn record_submission(&mut self, request: &Request, now: Millis) {
         let open = OpenRequest { request: request.clone(), deadline: now + request.timeout_ms };
         self.open.insert(request.id, open);
     }
 
     /// Records the disconnect of a client whose request has no final response. Returns that request, if there
     /// is one.
-    pub fn disconnect(&mut self, pick: u16) -> Option<RequestId> {
+    pub fn record_disconnect(&mut self, pick: u16) -> Option<RequestId> {
         let id = nth_cyclic(self.open.keys().copied(), pick)?;
         self.open.remove(&id);
         Some(id)
     }
 
     /// Records the end of an attempt in flight. Returns that attempt, if there is one.
-    pub fn end_picked_attempt(&mut self, pick: u16, outcome: Outcome) -> Option<AttemptId> {
+    pub fn record_end_of_picked_attempt(&mut self, pick: u16, outcome: Outcome) -> Option<AttemptId> {
         let picked = nth_cyclic(self.attempts.iter().copied(), pick)?;
         self.attempts.remove(&picked);
-        self.end_attempt(picked.request, outcome);
+        self.record_attempt_end(picked.request, outcome);
         Some(picked)
     }
 
-    /// Records the announcement of a server.
-    pub fn change_server(&mut self, server: ServerId, state: EndpointState) {
+    /// Records the announced state of a server.
+    pub fn record_endpoint_state(&mut self, server: ServerId, state: EndpointState) {
         if state == EndpointState::Serving {
             self.not_serving.remove(&server);
         } else {
@@ -89,14 +89,14 @@
         }
     }
 
-    /// Checks the actions that the limiter has returned, and that no request is past its deadline.
+    /// Checks the actions that the limiter has returned, and that no open request is past its deadline.
     pub fn check(&mut self, actions: &[Action], shared: &mut SharedState) -> Result<(), TestCaseError> {
         for action in actions {
             self.check_action(action, shared)?;
         }
         for (id, OpenRequest { deadline, .. }) in &self.open {
             let latest = deadline + DEADLINE_TOLERANCE_MS;
-            prop_assert!(shared.now <= latest, "request {id} has no response in time");
+            prop_assert!(shared.now <= latest, "request {id} has no final response in time");
         }
         Ok(())
     }
@@ -106,12 +106,12 @@
             Action::Forward { id, server, .. } => self.check_forward(*id, server, shared)?,
             Action::Reject { id, .. } => self.check_rejection(*id, shared.settings)?,
             Action::Fail { id } => {
-                self.finish(*id)?;
+                self.record_final_response(*id)?;
             }
             Action::CancelAttempt { id, attempt } => {
                 let cancelled = AttemptId { request: *id, number: *attempt };
                 prop_assert!(self.attempts.remove(&cancelled), "no such attempt to cancel");
-                self.end_attempt(*id, Outcome::Cancelled);
+                self.record_attempt_end(*id, Outcome::Cancelled);
             }
             Action::SendGossip { body, .. } => prop_assert!(body.len() <= MAX_MESSAGE_BYTES),
             _ => {}
@@ -120,10 +120,13 @@
     }
 
     fn check_rejection(&mut self, id: RequestId, settings: &Settings) -> Result<(), TestCaseError> {
-        let request = self.finish(id)?;
+        let request = self.record_final_response(id)?;
         if settings.classes[request.class].idempotency == Idempotency::NonIdempotent {
             let may_have_executed = self.may_have_executed.contains_key(&id) || self.in_flight.contains(&id);
-            prop_assert!(!may_have_executed, "non-idempotent, rejected though it may have been executed");
+            prop_assert!(
+                !may_have_executed,
+                "a non-idempotent request that may have been executed was rejected"
+            );
         }
         Ok(())
     }
@@ -154,10 +157,10 @@
     fn check_repeated_execution(&self, request: &Request, shared: &SharedState) -> Result<(), TestCaseError> {
         let Some(since) = self.may_have_executed.get(&request.id) else { return Ok(()) };
         let class = &shared.settings.classes[request.class];
-        prop_assert!(class.idempotency != Idempotency::NonIdempotent, "non-idempotent, retried");
+        prop_assert!(class.idempotency != Idempotency::NonIdempotent, "a non-idempotent request was retried");
         prop_assert!(
             class.idempotency != Idempotency::WithKey || shared.now - since <= class.dedup_window_ms,
-            "with a key, retried after its deduplication window"
+            "a request with a key was retried after its deduplication window"
         );
         Ok(())
     }
@@ -170,13 +173,13 @@
     }
 
     /// Records the final response of a request, which must be its first.
-    fn finish(&mut self, id: RequestId) -> Result<Request, TestCaseError> {
+    fn record_final_response(&mut self, id: RequestId) -> Result<Request, TestCaseError> {
         let open = self.open.remove(&id);
         let open = open.ok_or_else(|| TestCaseError::fail(format!("second final response for {id}")))?;
         Ok(open.request)
     }
 
-    fn end_attempt(&mut self, id: RequestId, outcome: Outcome) {
+    fn record_attempt_end(&mut self, id: RequestId, outcome: Outcome) {
         self.in_flight.remove(&id);
         if !matches!(outcome, Outcome::Rejected | Outcome::ConnectFailed) {
             self.may_have_executed.entry(id).or_insert(self.forwarded_at[&id]);
@@ -187,7 +190,7 @@
     }
 }
 
-/// Returns the item whose index is the remainder of `pick` by the number of items, or none without items.
+/// Returns the item whose index is `pick` modulo the number of items, or `None` if there are no items.
 fn nth_cyclic<T>(mut items: impl ExactSizeIterator<Item = T>, pick: u16) -> Option<T> {
     let count = items.len();
     if count == 0 {
@@ -196,8 +199,8 @@
     items.nth(usize::from(pick) % count)
 }
 
-/// Takes the cost of a request from the ceiling of its customer, which must not be overdrawn beyond its
-/// slack.
+/// Takes the cost of a request from the ceiling of its customer, and checks that the ceiling is not overdrawn
+/// by more than its slack.
 fn take_from_ceiling(request: &Request, shared: &mut SharedState) -> Result<(), TestCaseError> {
     let plan = &shared.settings.plans[request.plan];
     if !plan.has_ceiling() {
--- a/limiter-core/tests/properties/steps.rs
+++ b/limiter-core/tests/properties/steps.rs
@@ -1,4 +1,4 @@
-//! The legal events of a random run.
+//! The steps of a random run, and how they are drawn.
 
 use limiter_core::*;
 use proptest::prelude::*;
@@ -11,7 +11,7 @@
 /// How an announcement changes a server.
 #[derive(Debug, Clone, Copy)]
 pub enum EndpointChange {
-    /// The server is serving, in the same start as before.
+    /// The server is serving and has not restarted.
     Serving,
     /// The server is draining.
     Draining,
@@ -45,8 +45,8 @@
     Outcome::Cancelled,
 ];
 
-/// One step of a random run. Where a step refers to one of several requests or attempts, `pick` selects it:
-/// the remainder of `pick` by their number is the index.
+/// One step of a random run. Where a step refers to one of several requests or attempts, the index of the
+/// selected one is `pick` modulo their number.
 #[derive(Debug, Clone)]
 pub enum Step {
     Submit {
@@ -78,14 +78,15 @@
         pick: u16,
     },
     /// The limiter receives arbitrary bytes as a gossip message.
-    ReceiveNoise {
+    ReceiveArbitraryBytes {
         limiter: usize,
         from: u32,
         body: Vec<u8>,
     },
 }
 
-/// Draws a step. Each plan has its own customers, so that a customer always has the same plan.
+/// Returns the strategy that draws a step. Each plan has its own customers, so that a customer always has the
+/// same plan.
 pub fn any_step() -> impl Strategy<Value = Step> {
     let limiter = 0usize..LIMITERS as usize;
     prop_oneof![
@@ -105,6 +106,6 @@
         1 => limiter.clone().prop_map(|limiter| Step::Restart { limiter }),
         1 => (limiter.clone(), any::<u16>()).prop_map(|(limiter, pick)| Step::Disconnect { limiter, pick }),
         1 => (limiter, 0u32..4, prop::collection::vec(any::<u8>(), 0..40))
-            .prop_map(|(limiter, from, body)| Step::ReceiveNoise { limiter, from, body }),
+            .prop_map(|(limiter, from, body)| Step::ReceiveArbitraryBytes { limiter, from, body }),
     ]
 }
--- a/limiter-core/tests/quota_sharing.rs
+++ b/limiter-core/tests/quota_sharing.rs
@@ -26,7 +26,7 @@
     /// Runs the load on a new network. Forwarded requests have good responses.
     fn run(&self) -> LoadResult {
         let mut network = TestNetwork::new(self.limiters, 3, 5);
-        network.loss = self.loss;
+        network.loss_probability = self.loss;
         let mut admitted_units = 0.0;
         for id in 0..self.seconds * self.requests_per_s {
             let limiter = (id * 7 % self.limiters) as usize;
@@ -158,9 +158,9 @@
     let waits_for_peer = |id: &RequestId| network.submit(0, request_of(*id, u64::from(*id))).is_empty();
     let with_slow_reply = (0..32).find(waits_for_peer).expect("a customer whose owner is the peer");
     let with_lost_reply = 100;
-    network.loss = 1.0;
+    network.loss_probability = 1.0;
     network.submit(0, request_of(with_lost_reply, u64::from(with_slow_reply)));
-    network.loss = 0.0;
+    network.loss_probability = 0.0;
     assert!(is_request_forwarded(&network.advance(104.0), with_slow_reply), "after a slow reply");
     assert!(is_request_forwarded(&network.advance(150.0), with_lost_reply), "after a second quota request");
 }
--- a/limiter-core/tests/request_lifecycle.rs
+++ b/limiter-core/tests/request_lifecycle.rs
@@ -119,14 +119,14 @@
 
 /// Guards against a process that is woken for every timer of requests that finished long ago.
 #[test]
-fn timers_of_a_finished_request_are_not_live() {
+fn timers_of_a_finished_request_are_not_needed() {
     let mut limiter = TestLimiter::new(settings(0), 3);
-    let num_before = limiter.num_live_timers();
+    let num_before = limiter.num_needed_timers();
     limiter.submit(request(1, IDEMPOTENT, UNLIMITED));
-    let num_pending = limiter.num_live_timers();
+    let num_pending = limiter.num_needed_timers();
     assert!(num_pending >= num_before + 3, "its deadline, its latency objective and its silence check");
     limiter.respond(1, 50.0);
-    assert_eq!(limiter.num_live_timers(), num_before);
+    assert_eq!(limiter.num_needed_timers(), num_before);
 }
 
 /// Clients are advised when to retry only where the settings allow that.
--- a/limiter-core/tests/slow_start.rs
+++ b/limiter-core/tests/slow_start.rs
@@ -45,7 +45,7 @@
     let mut worst = Window { num_attempts: 0, excess: f64::NEG_INFINITY };
     for n in FIRST_NEW_SERVER..FIRST_NEW_SERVER + SERVERS {
         let to_server = fleet.forwarded.iter().filter(|attempt| attempt.server == server(n));
-        let times: Vec<Millis> = to_server.map(|attempt| attempt.at).collect();
+        let times: Vec<Millis> = to_server.map(|attempt| attempt.forwarded_at).collect();
         for (first, at) in times.iter().enumerate() {
             let end = at + settings.overload_ms;
             let num_attempts = times[first..].iter().take_while(|time| **time < end).count();
