--- a/limiter-core/tests/ceilings.rs
+++ b/limiter-core/tests/ceilings.rs
@@ -1,5 +1,5 @@
-//! Hard ceilings: never overdrawn beyond their slack, whatever the network and the limiters do, and not left
-//! unused.
+//! Hard ceilings: no ceiling is overdrawn by more than its slack, regardless of lost messages, stalls and
+//! restarts, and ceilings do not stay unused.
 
 mod common;
 use std::collections::{BTreeMap, BTreeSet};
@@ -17,35 +17,35 @@
         units += 2.0 * forwarded_to(&limiter.submit(request)).len() as f64;
         limiter.respond(id, 5.0);
     }
-    // A third of 60 units, and of 3 units of slack.
-    assert!(units <= 21.0, "{units}");
+    // A third of the ceiling of 60 units and of the slack of 3 units.
+    assert!(units <= 21.0, "{units} units");
 }
 
 #[test]
-fn a_ceiling_starts_as_if_it_had_been_spent() {
+fn a_ceiling_starts_fully_spent() {
     let mut limiter = TestLimiter::new(settings(0), 5);
     let mut units = 0;
     for id in 0..100 {
         units += forwarded_to(&limiter.submit(request(id, IDEMPOTENT, WITH_CEILING))).len();
     }
-    assert!(units <= 1, "{units}");
+    assert!(units <= 1, "{units} units right after the start");
     limiter.advance(1000.0);
     for id in 100..200 {
         units += forwarded_to(&limiter.submit(request(id, IDEMPOTENT, WITH_CEILING))).len();
     }
-    assert!((1..=5).contains(&units), "{units} at 4 units per second");
+    assert!((1..=5).contains(&units), "{units} units at 4 units per second");
 }
 
-/// Guards against rejections after a start, when ceilings are as if they had been spent. A limiter is ready
-/// for clients once its ceilings have filled, or immediately if peers are serving already and need its
-/// capacity.
+/// Guards against rejections right after a start, when the ceilings are fully spent. A limiter is ready for
+/// clients once its ceilings have filled, or as soon as gossip shows that peers already serve requests and
+/// need its capacity.
 #[test]
 fn a_limiter_is_ready_once_its_ceilings_have_filled_or_peers_serve() {
     let mut network = TestNetwork::new(LIMITERS, 3, 5);
     let is_ready =
         |network: &TestNetwork, limiter: usize| network.limiters[limiter].limiter.is_ready(network.now);
-    // 60 units and a slack of 3 would take 5.75 s at 12 units per second, but no limiter waits for more than
-    // 5 s.
+    // The ceiling of 60 units and its slack of 3 would fill in 5.75 s at 12 units per second, but no limiter
+    // waits for more than 5 s.
     network.advance(4900.0);
     assert!(!is_ready(&network, 0));
     network.advance(200.0);
@@ -60,14 +60,15 @@
     assert!(is_ready(&network, 1), "peers serve");
 }
 
-/// Bytes of the header of a gossip message. The lines follow the header.
+/// Size in bytes of the header of a gossip message. The lines follow the header.
 const GOSSIP_HEADER_BYTES: usize = 8;
-/// Bytes of a line with a grant reply.
+/// Size in bytes of a line with a grant reply.
 const GRANT_REPLY_BYTES: usize = 26;
-/// First byte of a line that grants units. The id of the request follows.
+/// Kind of a line that grants units: the first byte of the line. The id of the request follows.
 const KIND_GRANTED: u8 = 2;
 
-/// Returns the requests to which an owner's messages grant units. The messages must hold grant replies only.
+/// Returns the ids of the requests to which an owner's messages grant units. The messages must contain grant
+/// replies only.
 fn granted_ids(messages: &[SentGossip]) -> impl Iterator<Item = RequestId> + '_ {
     let lines =
         messages.iter().flat_map(|message| message.body[GOSSIP_HEADER_BYTES..].chunks(GRANT_REPLY_BYTES));
@@ -75,7 +76,8 @@
     grants.map(|line| RequestId::from_be_bytes(line[1..5].try_into().expect("four bytes")))
 }
 
-/// Returns the position of the first owner of the customer: the limiter that asks no other limiter.
+/// Returns the position of the first owner of the customer's quota: the limiter that sends no quota request
+/// to a peer.
 fn first_owner() -> u32 {
     let asks_no_peer = |position: &u32| {
         let actions = TestLimiter::new(settings(*position), 3).submit(request(1, NON_IDEMPOTENT, WITH_RATE));
@@ -84,7 +86,7 @@
     (0..LIMITERS).find(asks_no_peer).expect("one of three is the first owner")
 }
 
-/// The first owner of a customer and one other member, which exchange gossip without delay.
+/// The first owner of a customer's quota and one other member, which exchange gossip without delay.
 struct MemberAndOwner {
     member_position: u32,
     owner_position: u32,
@@ -92,8 +94,8 @@
     owner: TestLimiter,
     /// Requests to which the owner has granted units.
     granted: BTreeSet<RequestId>,
-    /// Requests whose units the member has spent from its even share. The owner reports these units as
-    /// granted too.
+    /// Requests whose units the member has spent from its even share. The owner replies to these requests
+    /// with a grant too.
     spent_locally: BTreeSet<RequestId>,
 }
 
@@ -116,7 +118,7 @@
         }
     }
 
-    /// Submits a request to the member, and exchanges the gossip of 2 ms.
+    /// Submits a request to the member, advances both limiters by 2 ms and exchanges their gossip.
     fn step(&mut self, id: RequestId) {
         let mut member_actions = self.member.submit(request(id, NON_IDEMPOTENT, WITH_CEILING));
         if is_forwarded(&member_actions) {
@@ -136,36 +138,36 @@
         self.granted.extend(granted_ids(&replies));
     }
 
-    /// Records the grants that are still queued at the owner.
-    fn drain_owner(&mut self) {
+    /// Advances the owner by 300 ms, so that it sends its queued messages, and records their grants.
+    fn record_queued_grants(&mut self) {
         let replies = sent_gossip(self.owner.advance(300.0));
         self.granted.extend(granted_ids(&replies));
     }
 }
 
-/// Returns the units of a ceiling that its first owner grants within `ms` to one member that always asks for
-/// more, after both have run for `uptime_ms`.
+/// Returns the units of a ceiling that its first owner grants within `ms` to one member that requests units
+/// all the time, after both limiters have run for `uptime_ms`.
 fn units_granted(uptime_ms: Millis, ms: u32) -> usize {
     let mut limiters = MemberAndOwner::with_uptime(uptime_ms);
     for id in 0..ms / 2 {
         limiters.step(id);
     }
-    limiters.drain_owner();
+    limiters.record_queued_grants();
     limiters.granted.difference(&limiters.spent_locally).count()
 }
 
-/// Outstanding grants lower the capacity of the owner's bucket. Otherwise grants that are spent late would
-/// add to the units that have been refilled.
+/// Guards against an owner that refills its bucket to the full capacity while grants are outstanding: units
+/// that are spent late would add to the refilled units.
 #[test]
-fn outstanding_grants_leave_less_room_to_refill() {
-    // 0.62 of a bucket of 60 units, and of a slack of 3, is 39 units.
+fn outstanding_grants_lower_the_capacity_of_the_owner_bucket() {
+    // The first owner holds 0.62 of the bucket of 60 units and of the slack of 3, which is 39 units.
     let units = units_granted(60_000.0, 460);
-    assert!((30..=39).contains(&units), "{units}");
+    assert!((30..=39).contains(&units), "{units} units granted");
 }
 
-/// Units that an owner granted before its restart may still be spent for half a second.
+/// Units that an earlier incarnation of the owner granted may still be spent for half a second.
 #[test]
-fn an_owner_that_has_just_started_grants_nothing_until_its_old_grants_have_expired() {
+fn an_owner_grants_nothing_until_grants_of_its_earlier_incarnation_have_expired() {
     assert_eq!(units_granted(0.0, 480), 0);
     assert!(units_granted(0.0, 1500) > 0);
 }
@@ -185,14 +187,14 @@
 }
 
 /// Six limiters that admit requests of three customers under a ceiling. Messages are lost, delayed and
-/// reordered, and limiters restart, or stall and receive their whole backlog afterwards.
+/// reordered. Limiters restart, or stall and receive the complete backlog of messages afterwards.
 struct UnreliableNetwork {
     network: TestNetwork,
     rng: fastrand::Rng,
-    /// The true ceiling of each customer.
+    /// The ceiling of each customer over all limiters.
     ceilings: Vec<ReferenceBucket>,
     submitted: BTreeMap<SubmissionKey, Request>,
-    /// Lowest level of any true ceiling so far.
+    /// Lowest level of any of these ceilings so far.
     lowest_level: f64,
     admitted_units: f64,
 }
@@ -233,7 +235,7 @@
             _ => {}
         }
         actions.extend(self.network.advance(if id % 500 < 300 { 4.0 } else { 20.0 }));
-        self.account_for(actions);
+        self.debit_and_respond(actions);
     }
 
     /// Submits a request of one to three units by a random customer.
@@ -248,8 +250,8 @@
         self.network.submit(limiter, request)
     }
 
-    /// Takes the units of forwarded requests from the true ceilings, and reports good responses.
-    fn account_for(&mut self, actions: Vec<LimiterAction>) {
+    /// Takes the units of forwarded requests from the ceilings, and reports good responses.
+    fn debit_and_respond(&mut self, actions: Vec<LimiterAction>) {
         for LimiterAction { limiter, action } in actions {
             let Action::Forward { id, .. } = action else { continue };
             let request = &self.submitted[&SubmissionKey { limiter, id }];
@@ -263,7 +265,7 @@
 }
 
 #[test]
-fn ceilings_hold_with_lost_and_delayed_messages_stalls_and_restarts() {
+fn ceilings_hold_despite_lost_and_delayed_messages_stalls_and_restarts() {
     const SEEDS: u64 = 60;
     let slack = settings(0).plans[WITH_CEILING].ceiling_slack;
     let mut total_units = 0.0;
@@ -273,11 +275,11 @@
             unreliable.step(id);
         }
         let lowest_level = unreliable.lowest_level;
-        assert!(lowest_level >= -slack - 1e-6, "seed {seed}: {lowest_level}");
+        assert!(lowest_level >= -slack - 1e-6, "seed {seed}: overdrawn to {lowest_level} units");
         total_units += unreliable.admitted_units;
     }
     let mean_units = total_units / SEEDS as f64;
-    // Three customers with 12 units per second for about 26 s and a full bucket of 60 may spend about 1,100
+    // With 12 units per second for about 26 s and a full bucket of 60, three customers may spend about 1,100
     // units.
-    assert!(mean_units > 300.0, "{mean_units}");
+    assert!(mean_units > 300.0, "{mean_units} units admitted on average");
 }
--- a/limiter-core/tests/gossip_messages.rs
+++ b/limiter-core/tests/gossip_messages.rs
@@ -1,4 +1,4 @@
-//! Gossip messages that are duplicated, late, malformed or from the wrong sender.
+//! Gossip messages that are duplicated, late, malformed or from an invalid sender.
 
 mod common;
 
@@ -31,10 +31,10 @@
     }
 }
 
-/// Guards against replies to a backlog of quota requests after a stall: their senders no longer wait for
-/// them.
+/// Guards against replies to a backlog of quota requests after a stall: the senders no longer wait for these
+/// replies.
 #[test]
-fn quota_requests_that_waited_through_a_stall_get_no_reply() {
+fn a_backlog_of_quota_requests_gets_no_replies_after_a_stall() {
     let QuotaRequest { from, to, body } = QuotaRequest::new(WITH_RATE);
     let num_replies_after = |stall_ms: Millis| {
         let mut owner = TestLimiter::new(settings(to), 3);
@@ -46,15 +46,19 @@
     assert_eq!(num_replies_after(2000.0), 0);
 }
 
-/// Returns what a limiter does when it receives a message as the first thing after its start.
-fn actions_on(at: u32, from: u32, body: Vec<u8>) -> Vec<Action> {
-    TestLimiter::new(settings(at), 3).receive_gossip(from, body)
+/// Returns the actions of a limiter that receives a message right after its start.
+fn actions_after_message(receiver: u32, from: u32, body: Vec<u8>) -> Vec<Action> {
+    TestLimiter::new(settings(receiver), 3).receive_gossip(from, body)
 }
 
-/// The intact message gets a reply: this is what the tests of malformed messages compare with.
+/// Returns a quota request that gets a reply while it is intact. The tests of malformed messages modify it.
 fn intact_quota_request() -> QuotaRequest {
     let request = QuotaRequest::new(WITH_CEILING);
-    assert_eq!(actions_on(request.to, request.from, request.body.clone()).len(), 1, "no reply");
+    assert_eq!(
+        actions_after_message(request.to, request.from, request.body.clone()).len(),
+        1,
+        "the intact message gets a reply"
+    );
     request
 }
 
@@ -63,28 +67,28 @@
     let QuotaRequest { from, to, body } = intact_quota_request();
     for length in 0..body.len() {
         let truncated = body[..length].to_vec();
-        assert!(actions_on(to, from, truncated).is_empty(), "truncated to {length} bytes");
+        assert!(actions_after_message(to, from, truncated).is_empty(), "truncated to {length} bytes");
     }
     for position in 0..body.len() {
         let mut altered = body.clone();
         altered[position] ^= 1;
-        assert!(actions_on(to, from, altered).is_empty(), "altered at byte {position}");
+        assert!(actions_after_message(to, from, altered).is_empty(), "altered at byte {position}");
     }
     let too_long = [&body[..], &[0; 5]].concat();
-    assert!(actions_on(to, from, too_long).is_empty());
+    assert!(actions_after_message(to, from, too_long).is_empty());
 }
 
 #[test]
-fn malformed_messages_and_messages_of_wrong_senders_change_nothing() {
+fn malformed_messages_and_messages_from_invalid_senders_change_nothing() {
     let QuotaRequest { from, to, body } = intact_quota_request();
     let unknown_sender = 9;
-    assert!(actions_on(to, unknown_sender, body.clone()).is_empty());
-    let itself = to;
-    assert!(actions_on(to, itself, body).is_empty());
-    let no_message = vec![0xfa; 40];
-    assert!(actions_on(to, from, no_message).is_empty());
+    assert!(actions_after_message(to, unknown_sender, body.clone()).is_empty());
+    let own_position = to;
+    assert!(actions_after_message(to, own_position, body).is_empty());
+    let arbitrary_bytes = vec![0xfa; 40];
+    assert!(actions_after_message(to, from, arbitrary_bytes).is_empty());
     let empty = vec![];
-    assert!(actions_on(to, from, empty).is_empty());
+    assert!(actions_after_message(to, from, empty).is_empty());
 }
 
 #[test]
@@ -102,14 +106,15 @@
     assert_eq!(num_admitted_after(1), num_admitted_after(5));
 }
 
-/// Position of the checksum in a message, as in `src/gossip/codec.rs`.
+/// Range of the bytes of the checksum in a message, as in `src/gossip/codec.rs`.
 const CHECKSUM_RANGE: Range<usize> = 1..3;
 /// Modulus of the checksum, as in `src/gossip/codec.rs`.
 const CHECKSUM_MODULUS: u32 = 65_521;
 /// A kind of line that no version sends.
 const UNKNOWN_KIND: u8 = 250;
 
-/// Returns the message with another line, of a kind that a later version may send, and with a valid checksum.
+/// Returns the message with an additional line, of a kind that a later version may send, and with a valid
+/// checksum.
 fn with_unknown_line(body: &[u8]) -> Vec<u8> {
     let mut body = [body, &[UNKNOWN_KIND, 1, 2, 3]].concat();
     let mut sum: u32 = 0;
@@ -123,8 +128,8 @@
     body
 }
 
-/// A message is handled completely or not at all. The length of an unknown line is unknown, so that the lines
-/// after it cannot be read.
+/// A message is handled completely or not at all: the length of a line of an unknown kind is unknown, so the
+/// lines after it cannot be decoded.
 #[test]
 fn a_message_with_an_unknown_line_changes_nothing() {
     let QuotaRequest { from, to, body } = QuotaRequest::new(WITH_RATE);
@@ -133,14 +138,14 @@
     assert_eq!(owner.receive_gossip(from, body).len(), 1, "no reply without the unknown line");
 }
 
-/// Guards against unbounded memory: hundreds of peers may poll a limiter that may send next to nothing.
+/// Guards against unbounded memory when hundreds of peers poll a limiter whose send allowance is nearly zero.
 #[test]
-fn replies_to_polls_wait_within_the_bound_of_the_queue() {
+fn replies_to_polls_do_not_exceed_the_bound_of_the_gossip_queue() {
     const PEERS: u32 = 900;
     let subscribed = Settings { must_subscribe: true, ..settings_among(PEERS, 0) };
-    let mut disconnected = TestLimiter::new(Settings { position: 1, ..subscribed.clone() }, 1);
-    disconnected.handle(Event::WatchFailed);
-    let poll = sent_gossip(disconnected.advance(600.0)).into_iter().next().expect("a poll").body;
+    let mut cut_off = TestLimiter::new(Settings { position: 1, ..subscribed.clone() }, 1);
+    cut_off.handle(Event::WatchFailed);
+    let poll = sent_gossip(cut_off.advance(600.0)).into_iter().next().expect("a poll").body;
     let slow = Settings { gossip_messages_per_s: 0.1, ..subscribed };
     let mut limiter = TestLimiter::new(slow, 3);
     limiter.change_endpoints(vec![draining(0)]);
--- a/limiter-core/tests/quota_owner.rs
+++ b/limiter-core/tests/quota_owner.rs
@@ -1,5 +1,5 @@
-//! What a quota owner records about its customers: the actual cost of their requests, one quota for each
-//! plan, and bounded memory.
+//! The records of a quota owner: the actual cost of requests, one quota for each plan of a customer, and the
+//! bounds on memory.
 
 mod common;
 use std::ops::Range;
@@ -29,19 +29,19 @@
 }
 
 #[test]
-fn the_quota_is_corrected_by_the_units_that_a_request_actually_cost() {
+fn the_quota_is_corrected_by_the_actual_cost_of_a_request() {
     let after_four_units = num_admitted_after(Some(4.0));
     let after_estimate = num_admitted_after(None);
     assert_eq!(after_four_units + 3, after_estimate, "three units more than estimated were used");
 }
 
 /// A customer that changes its plan, or whose id is reused by a customer on another plan, has a separate
-/// quota on that plan. Guards against the quota of one plan rejecting requests of the other, or granting
-/// units to them.
+/// quota for that plan. Guards against deciding on requests of one plan by the quota of the other: requests
+/// would be rejected, or granted units, by mistake.
 #[test]
-fn a_customer_on_another_plan_has_another_quota() {
+fn a_customer_has_a_separate_quota_for_each_plan() {
     let mut limiter = TestLimiter::new(settings_of_only_limiter(), 3);
-    // The ceiling's bucket starts as if it had been spent, and is full after this time.
+    // The bucket of a ceiling starts fully spent, and is full after this time.
     limiter.advance(20_000.0);
     let first = num_forwarded_of(&mut limiter, 0..40, WITH_RATE);
     assert_eq!(first, 12, "the burst of the first plan");
@@ -49,11 +49,11 @@
     assert!(on_other_plan > 12, "{on_other_plan}: the other plan has a separate quota");
     limiter.advance(500.0);
     let again = num_forwarded_of(&mut limiter, 200..240, WITH_RATE);
-    assert!(again <= 4, "{again}: the first quota is as spent as before");
+    assert!(again <= 4, "{again}: the first quota has only been refilled for 500 ms");
 }
 
-/// Submits a request to a limiter without a test clock, and reports a good response if the request is
-/// forwarded. Returns whether the request was forwarded.
+/// Submits a request to a limiter without a test clock, and reports a good response if the limiter forwards
+/// the request. Returns whether the request was forwarded.
 fn submit_and_respond(limiter: &mut Limiter, now: Millis, request: Request) -> bool {
     let id = request.id;
     let mut actions = Vec::new();
@@ -87,8 +87,8 @@
         CustomerFlood { limiter, now: 0.0, next_id: 0, greedy_units: 0 }
     }
 
-    /// Submits the requests of a tenth of a second: each but the greedy customer's is from a new customer.
-    /// Then lets the limiter make its control step.
+    /// Submits the requests of a tenth of a second, advances the clock and triggers the control step. Each
+    /// request is from a new customer, except those of the greedy customer.
     fn step(&mut self) {
         for n in 0..Self::REQUESTS_PER_STEP {
             self.next_id += 1;
@@ -107,10 +107,11 @@
     }
 }
 
-/// The quotas that have not been used for the longest time are dropped earlier in a flood, so memory stays
-/// bounded. A customer that has spent its quota does not get a new one because of the flood.
+/// In a flood of new customers, the quotas that have not been used for the longest time are dropped earlier,
+/// so that memory stays bounded. Guards against a flood that gives a new quota to a customer that has spent
+/// its quota.
 #[test]
-fn a_flood_of_new_customers_keeps_memory_bounded_and_renews_no_quota() {
+fn a_flood_of_new_customers_neither_exceeds_the_memory_bounds_nor_renews_a_spent_quota() {
     const SECONDS: u32 = 60;
     let mut flood = CustomerFlood::new();
     let mut max_counts = flood.limiter.record_counts();
@@ -129,5 +130,5 @@
     assert!(max_counts.decisions <= 10 * 1020, "{max_counts:?}");
     // A burst of 12 units, and 6 units per second.
     let quota = 12 + 6 * SECONDS;
-    assert!(flood.greedy_units <= quota, "{} units of one customer", flood.greedy_units);
+    assert!(flood.greedy_units <= quota, "{} units admitted for the greedy customer", flood.greedy_units);
 }
