--- a/limiter-core/tests/ceilings.rs
+++ b/limiter-core/tests/ceilings.rs
@@ -217,7 +217,7 @@
         }
     }
 
-    /// Restarts or stalls a random limiter, or submits a request to it. Then advances the clock.
+    /// Restarts or stalls a random limiter, or submits a request to it, and advances the clock.
     fn step(&mut self, id: RequestId) {
         let limiter = self.rng.usize(0..UNRELIABLE_LIMITERS as usize);
         let mut actions = Vec::new();
--- a/limiter-core/tests/fleet.rs
+++ b/limiter-core/tests/fleet.rs
@@ -71,7 +71,7 @@
         assert!(forwarded <= 3.0 * 0.2 * warm_per_s * 2.0, "{forwarded} attempts in 2 s at cold server {n}");
     }
     let to_draining = fleet.num_forwarded_to(replaced_at, |n| (24..60).contains(&n));
-    assert_eq!(to_draining, 0, "nothing new to draining servers");
+    assert_eq!(to_draining, 0, "no new attempts at draining servers");
     fleet.run(400.0, 3.0, request_without_quota);
     let halfway_at = fleet.network.now;
     let all = fleet.run(400.0, 2.0, request_without_quota) as usize;
@@ -282,7 +282,7 @@
     assert!(messages <= 40 * 2 * 2 * 5 + 80, "{messages} messages");
     let learned_at = fleet.network.now;
     fleet.run(400.0, 2.0, request_at_subscribed_limiter);
-    assert_eq!(fleet.num_forwarded_to(learned_at, |n| n < 8), 0, "nothing new to draining servers");
+    assert_eq!(fleet.num_forwarded_to(learned_at, |n| n < 8), 0, "no new attempts at draining servers");
     // Half of the servers serve again without a restart, and the others after a restart.
     let serving_again = |n: u32| started_at(n, if n < 4 { 0.0 } else { learned_at });
     fleet.change_endpoints(&(0..8).map(serving_again).collect::<Vec<_>>());
--- a/limiter-core/tests/request_lifecycle.rs
+++ b/limiter-core/tests/request_lifecycle.rs
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn a_request_in_flight_at_its_deadline_has_exactly_one_final_response() {
+fn a_request_in_flight_at_its_deadline_gets_exactly_one_final_response() {
     let mut settings = settings(0);
     settings.classes[NON_IDEMPOTENT].late_value = 0.2;
     let mut limiter = TestLimiter::new(settings, 3);
@@ -58,8 +58,8 @@
     assert!(is_failed(&after_window));
 }
 
-/// Forwards a request with a key, whose deduplication window is 300 ms, and returns the actions after an
-/// error of the server at the given time.
+/// Forwards a request with a key, whose deduplication window is 300 ms. Returns the actions after the server
+/// has responded with an error at the given time.
 fn end_keyed_attempt_after(elapsed_ms: Millis) -> Vec<Action> {
     let mut settings = settings(0);
     settings.classes[WITH_KEY].dedup_window_ms = 300.0;
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn a_queued_retry_of_a_request_with_a_key_ends_with_its_dedup_window() {
+fn a_queued_retry_of_a_request_with_a_key_fails_when_its_dedup_window_ends() {
     let mut settings = settings(0);
     settings.classes[WITH_KEY].dedup_window_ms = 200.0;
     let mut limiter = TestLimiter::new(settings, 1);
@@ -117,7 +117,7 @@
     assert!(repeated.is_empty(), "attempt 1 is still in flight");
 }
 
-/// Guards against a process that is woken for every timer of requests that finished long ago.
+/// Guards against a process that wakes up for the timers of requests that finished long ago.
 #[test]
 fn timers_of_a_finished_request_are_not_needed() {
     let mut limiter = TestLimiter::new(settings(0), 3);
@@ -129,15 +129,21 @@
     assert_eq!(limiter.num_needed_timers(), num_before);
 }
 
-/// Clients are advised when to retry only where the settings allow that.
+/// The client should retry once its rate quota has refilled by the cost of the request or, without a rate
+/// quota, after the longest time that a request is queued.
 #[test]
-fn a_rejection_says_when_to_retry() {
-    assert_eq!(retry_after_ms(true, WITH_RATE), Some(2000.0 / 6.0), "the refill of 2 units at 6 a second");
+fn a_rejection_advises_a_retry_time_only_if_the_settings_allow_it() {
+    assert_eq!(
+        retry_after_ms(true, WITH_RATE),
+        Some(2000.0 / 6.0),
+        "the refill of 2 units at 6 units per second"
+    );
     assert_eq!(retry_after_ms(true, UNLIMITED), Some(250.0), "the longest time in the queue");
     assert_eq!(retry_after_ms(false, WITH_RATE), Some(0.0), "no advice");
 }
 
-/// Returns the advice in the rejection of a request of two units for which there is no server.
+/// Returns the retry time that is advised in the rejection of a request of two units for which there is no
+/// server. The time is 0 if there is no advice.
 fn retry_after_ms(can_send_retry_after: bool, plan: usize) -> Option<Millis> {
     let settings = Settings { can_send_retry_after, ..settings_of_only_limiter() };
     let mut limiter = TestLimiter::new(settings, 0);
@@ -150,7 +156,7 @@
     })
 }
 
-/// The timers of a request that does not exist.
+/// The tokens of the timers of a request that does not exist.
 const TOKENS_OF_UNKNOWN_REQUEST: [TimerToken; 4] = [
     TimerToken::Deadline(5),
     TimerToken::LatencyObjective(5),
@@ -174,57 +180,62 @@
     let mut limiter = TestLimiter::new(settings(0), 3);
     limiter.submit(request(1, IDEMPOTENT, UNLIMITED));
     let repeated = limiter.submit(request(1, IDEMPOTENT, UNLIMITED));
-    assert!(repeated.is_empty(), "no id is forwarded twice by mistake");
+    assert!(repeated.is_empty(), "the repeated id is not forwarded by mistake");
 }
 
-/// Settings whose servers drop the duplicates of a key together in each scope.
+/// Returns settings in which all servers of the same scope together drop the duplicates of a request with a
+/// key.
 fn settings_with_dedup_scope(scope: DedupScope) -> Settings {
     let mut settings = settings_of_only_limiter();
     settings.classes[WITH_KEY].dedup_scope = scope;
     settings
 }
 
-/// A server in zone 7 and cell 7.
-fn in_seventh(n: u32) -> Endpoint {
+/// Returns a server in zone 7 and cell 7.
+fn in_zone_and_cell_7(n: u32) -> Endpoint {
     Endpoint { zone: 7, cell: 7, ..endpoint(n) }
 }
 
 /// Forwards request 1, which has a key, to server 0 in zone 7 and cell 7, applies a change of the endpoint
 /// list, and ends the attempt by the loss of its connection. Returns the servers that the retry is forwarded
 /// to.
-fn retried_after_change(scope: DedupScope, change: Vec<Endpoint>) -> Vec<ServerId> {
+fn retry_targets_after_change(scope: DedupScope, change: Vec<Endpoint>) -> Vec<ServerId> {
     let mut limiter = TestLimiter::new(settings_with_dedup_scope(scope), 0);
-    limiter.change_endpoints(vec![in_seventh(0)]);
+    limiter.change_endpoints(vec![in_zone_and_cell_7(0)]);
     assert_eq!(forwarded_to(&limiter.submit(request(1, WITH_KEY, UNLIMITED))), [server(0)]);
     limiter.change_endpoints(change);
     forwarded_to(&limiter.end_attempt(1, 0, Outcome::ConnectionLost, 20.0))
 }
 
-/// Guards against looking up the location of the server when the attempt ends: the server may be removed by
-/// then.
+/// Guards against looking up the location of the server when the attempt ends: the server may have been
+/// removed in the meantime.
 #[test]
-fn a_keyed_retry_stays_in_its_scope_though_its_server_was_removed() {
-    let removed = Endpoint { state: EndpointState::Removed, ..in_seventh(0) };
+fn a_keyed_retry_stays_in_its_dedup_scope_after_its_server_was_removed() {
+    let removed = Endpoint { state: EndpointState::Removed, ..in_zone_and_cell_7(0) };
     for scope in [DedupScope::Zone, DedupScope::Cell] {
         let elsewhere = vec![removed.clone(), endpoint(1), endpoint(2)];
-        assert!(retried_after_change(scope, elsewhere).is_empty(), "{scope:?}: retried in another scope");
-        let with_one_inside = vec![removed.clone(), endpoint(1), endpoint(2), in_seventh(3)];
-        assert_eq!(retried_after_change(scope, with_one_inside), [server(3)], "{scope:?}");
+        assert!(
+            retry_targets_after_change(scope, elsewhere).is_empty(),
+            "{scope:?}: retried in another scope"
+        );
+        let with_one_inside = vec![removed.clone(), endpoint(1), endpoint(2), in_zone_and_cell_7(3)];
+        assert_eq!(retry_targets_after_change(scope, with_one_inside), [server(3)], "{scope:?}");
     }
 }
 
-/// The same for a server that is announced at another location while the attempt is in flight.
+/// The server may also be announced in another zone and cell while the attempt is in flight.
 #[test]
-fn a_keyed_retry_stays_in_its_scope_though_its_server_has_moved() {
+fn a_keyed_retry_stays_in_its_dedup_scope_after_its_server_has_moved() {
     for scope in [DedupScope::Zone, DedupScope::Cell] {
         let moved = vec![endpoint(0), endpoint(1)];
-        assert!(retried_after_change(scope, moved).is_empty(), "{scope:?}: retried in another scope");
-        let with_one_inside = vec![endpoint(0), endpoint(1), in_seventh(3)];
-        assert_eq!(retried_after_change(scope, with_one_inside), [server(3)], "{scope:?}");
+        assert!(retry_targets_after_change(scope, moved).is_empty(), "{scope:?}: retried in another scope");
+        let with_one_inside = vec![endpoint(0), endpoint(1), in_zone_and_cell_7(3)];
+        assert_eq!(retry_targets_after_change(scope, with_one_inside), [server(3)], "{scope:?}");
     }
 }
 
-/// A request may have waited for an earlier one of its connection, or for a stalled process.
+/// A request may have waited for an earlier request on its connection, or because the process was stalled.
+/// The latency objective includes this wait.
 #[test]
 fn the_latency_objective_counts_from_the_arrival_of_a_request() {
     let mut limiter = TestLimiter::new(settings_of_only_limiter(), 1);
@@ -235,10 +246,10 @@
 }
 
 #[test]
-fn a_request_that_is_overdue_on_arrival_is_rejected_at_once() {
+fn a_request_submitted_after_its_latency_objective_is_rejected_immediately() {
     let mut limiter = TestLimiter::new(settings_of_only_limiter(), 1);
     let submitted = submit_after_wait(&mut limiter, 1100.0);
-    assert!(is_rejected(&submitted), "its objective had passed on arrival");
+    assert!(is_rejected(&submitted), "its objective had passed before it was submitted");
     assert!(!is_forwarded(&submitted));
 }
 
--- a/limiter-core/tests/rules.rs
+++ b/limiter-core/tests/rules.rs
@@ -1,9 +1,9 @@
-//! The rules on what may be sent, executed again, closed or ended at a moment.
+//! The rules that decide whether something may be sent, executed again, closed or ended at this moment.
 
 use limiter_core::rules::*;
 use limiter_core::Idempotency;
 
-/// A connection between two requests.
+/// The facts of a connection that is idle between two requests.
 const IDLE: ClientConnectionFacts = ClientConnectionFacts {
     open_requests: 0,
     unwritten_for_ms: None,
@@ -30,7 +30,7 @@
         ..IDLE
     };
     assert!(!unread_for(9_900.0).is_overdue(), "the client may still read the response");
-    assert!(unread_for(10_100.0).is_overdue(), "closed earlier than an idle connection, after 30 s");
+    assert!(unread_for(10_100.0).is_overdue(), "its limit is 10 s, and not the 30 s of an idle connection");
 }
 
 #[test]
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn nothing_is_sent_for_a_disconnected_client_or_to_a_draining_server() {
+fn sending_an_attempt_is_denied_for_each_reason_alone() {
     let facts =
         SendFacts { is_client_waiting: true, is_serving: true, begin_within_ms: 0.0, deadline_in_ms: 1.0 };
     assert_eq!(may_send(&facts), Ok(()));
--- a/limiter-core/tests/server_selection.rs
+++ b/limiter-core/tests/server_selection.rs
@@ -33,13 +33,13 @@
 }
 
 #[test]
-fn a_server_of_greater_weight_gets_more() {
+fn a_server_of_greater_weight_gets_more_requests() {
     let mut limiter = TestLimiter::new(settings(0), 0);
     limiter.replace_endpoints(vec![endpoint(1), Endpoint { weight: 3.0, ..endpoint(2) }]);
     let servers: Vec<_> =
         (0..40).flat_map(|id| forwarded_to(&limiter.submit(request(id, IDEMPOTENT, UNLIMITED)))).collect();
     let to_larger = servers.iter().filter(|to| **to == server(2)).count();
-    assert!((28..=32).contains(&to_larger), "three in four: {to_larger}");
+    assert!((28..=32).contains(&to_larger), "{to_larger} of 40 requests, expected are three in four");
 }
 
 #[test]
@@ -55,7 +55,7 @@
     }
     // 200 requests at four servers within 2 s: an even share would be 50. The server has a fifth of its
     // capacity at first and about two fifths in the end.
-    assert!((1..=20).contains(&to_cold), "{to_cold}");
+    assert!((1..=20).contains(&to_cold), "{to_cold} requests to the cold server");
 }
 
 /// Guards against the ejection of healthy servers because of a few slow requests.
@@ -80,8 +80,8 @@
     attempt: u32,
 }
 
-/// Guards against a server that attracts all requests because its errors are faster than the responses of
-/// others.
+/// Guards against a server that attracts all requests because its errors arrive faster than the responses of
+/// healthy servers.
 #[test]
 fn a_server_that_fails_fast_is_ejected() {
     let mut limiter = TestLimiter::new(settings(0), 3);
@@ -110,9 +110,9 @@
     assert!((1..12).contains(&num_failing), "{num_failing} attempts went to the failing server");
 }
 
-/// Sends four requests to the only server, applies changes of the endpoint list, and ends all four with
-/// errors. Then announces server 1 as well and returns whether any of 20 further requests is forwarded to
-/// server 0.
+/// Sends four requests to server 0, which is the only server, applies changes of the endpoint list, and ends
+/// all four attempts with errors. Afterwards announces server 1 as well, and returns whether any of 20
+/// further requests is forwarded to server 0.
 fn is_used_after_errors_of_earlier_attempts(changes: Vec<Endpoint>) -> bool {
     let mut limiter = TestLimiter::new(settings(0), 1);
     for id in 0..4 {
@@ -133,8 +133,8 @@
     servers.contains(&server(0))
 }
 
-/// The errors of attempts that were sent before a server was removed tell nothing of the server that is
-/// announced again under the same id.
+/// The errors of attempts that were sent before a server was removed say nothing about the server that is
+/// announced under the same id afterwards.
 #[test]
 fn attempts_at_a_removed_server_do_not_count_against_its_successor() {
     let removed = Endpoint { state: EndpointState::Removed, ..endpoint(0) };
@@ -145,13 +145,13 @@
     );
 }
 
-/// Settings of a limiter in a fleet of hundreds.
+/// Returns the settings of a limiter in a fleet of 900.
 fn settings_in_large_fleet() -> Settings {
     settings_among(900, 450)
 }
 
-/// Returns how many records a limiter looks at per request, for 200 requests within a second and including
-/// the control steps of that second.
+/// Returns the number of server records that a limiter examines per request: for 200 requests within a
+/// second, including the control steps of that second.
 fn examined_per_request(servers: u32, change: impl Fn(&mut TestLimiter)) -> f64 {
     const REQUESTS: u32 = 200;
     let mut limiter = TestLimiter::new(settings_in_large_fleet(), servers);
@@ -165,17 +165,17 @@
     (limiter.limiter.num_endpoints_examined() - before) as f64 / f64::from(REQUESTS)
 }
 
-/// Between changes of the list, a server that a limiter does not use costs nothing. Of 3,200 servers each of
-/// 900 limiters uses 28.
+/// Between changes of the endpoint list, a limiter does not examine the servers that it does not use. Each of
+/// 900 limiters uses 28 of 3,200 servers.
 #[test]
-fn servers_that_are_not_used_cost_nothing() {
+fn unused_servers_add_no_cost_per_request() {
     let examined = examined_per_request(3200, |_| {});
     assert!(examined <= 40.0, "{examined} records for each request");
 }
 
-/// Of 400 servers in slow start, a limiter looks only at those whose warming set it belongs to: about five.
+/// Of 400 servers in slow start, a limiter examines only those whose warming set it belongs to: about five.
 #[test]
-fn servers_in_slow_start_cost_nothing_outside_of_their_warming_set() {
+fn servers_in_slow_start_add_no_cost_per_request_outside_of_their_warming_set() {
     let examined = examined_per_request(3200, |limiter| {
         let started = limiter.now;
         limiter.change_endpoints((3200..3600).map(|n| started_at(n, started)).collect());
--- a/limiter-core/tests/settings.rs
+++ b/limiter-core/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings that cannot be served are rejected.
+//! Invalid settings are rejected.
 
 mod common;
 use common::*;
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn settings_that_cannot_be_served_are_rejected_with_the_value_named() {
+fn invalid_settings_are_rejected_with_an_error_that_names_the_value() {
     assert_rejected(|settings| settings.limiters = 0, "limiters");
     assert_rejected(|settings| settings.limiters = 70_000, "limiters");
     assert_rejected(|settings| settings.position = 3, "position 3");
--- a/limiter-core/tests/slow_start.rs
+++ b/limiter-core/tests/slow_start.rs
@@ -7,9 +7,9 @@
 use common::*;
 use limiter_core::*;
 
-/// Servers before the release.
+/// Number of servers before the release.
 const SERVERS: u32 = 24;
-/// Number of the first server that starts during a test.
+/// Number that identifies the first server that starts during a test.
 const FIRST_NEW_SERVER: u32 = 100;
 /// Requests per second that a warm server can serve.
 const CAPACITY_PER_S: f64 = 5.0;
@@ -20,29 +20,30 @@
 /// Load of the burst after the release, as a multiple of the load before the release.
 const LOAD_IN_BURST: f64 = 1.5;
 
-fn settings_with_low_capacity(limiters: u32, position: u32) -> Settings {
+fn settings_with_low_cold_capacity(limiters: u32, position: u32) -> Settings {
     Settings { cold_capacity_fraction: 0.15, ..settings_among(limiters, position) }
 }
 
-/// Returns the changes of a release: the first servers are draining, and as many new ones have started.
+/// Returns the endpoint changes of a release: the first servers are draining, and as many new ones have
+/// started.
 fn replacement(num_replaced: u32, started: Millis) -> Vec<Endpoint> {
     let new_servers = FIRST_NEW_SERVER..FIRST_NEW_SERVER + num_replaced;
     (0..num_replaced).map(draining).chain(new_servers.map(|n| started_at(n, started))).collect()
 }
 
-/// Attempts at one server within a window of `overload_ms`, compared with the budget of the server.
-struct Window {
+/// The attempts at one server within a window of `overload_ms`, compared with the budget of the server.
+struct OverloadWindow {
     num_attempts: usize,
     /// Attempts beyond the budget and beyond what is attributed to chance.
     excess: f64,
 }
 
-/// Returns the window in which a cold server got the most attempts beyond its budget. The budget of N
-/// attempts follows from the capacity of the server at the beginning of the window; 2 x root N + 2 more are
-/// attributed to chance.
-fn worst_window(fleet: &TestFleet, started: Millis) -> Window {
-    let settings = settings_with_low_capacity(1, 0);
-    let mut worst = Window { num_attempts: 0, excess: f64::NEG_INFINITY };
+/// Returns the window in which the attempts at a cold server exceeded its budget the most. The budget of N
+/// attempts follows from the capacity of the server at the beginning of the window; 2 x sqrt(N) + 2 more
+/// attempts are attributed to chance.
+fn worst_overload_window(fleet: &TestFleet, started: Millis) -> OverloadWindow {
+    let settings = settings_with_low_cold_capacity(1, 0);
+    let mut worst = OverloadWindow { num_attempts: 0, excess: f64::NEG_INFINITY };
     for n in FIRST_NEW_SERVER..FIRST_NEW_SERVER + SERVERS {
         let to_server = fleet.forwarded.iter().filter(|attempt| attempt.server == server(n));
         let times: Vec<Millis> = to_server.map(|attempt| attempt.forwarded_at).collect();
@@ -52,14 +53,15 @@
             let budget = overload_budget(&settings, at - started);
             let excess = num_attempts as f64 - (budget + 2.0 * budget.sqrt() + 2.0);
             if excess > worst.excess {
-                worst = Window { num_attempts, excess };
+                worst = OverloadWindow { num_attempts, excess };
             }
         }
     }
     worst
 }
 
-/// Returns the attempts within `overload_ms` at which a server fails that started `uptime_ms` ago.
+/// Returns the number of attempts within `overload_ms` that make a server fail, if the server started
+/// `uptime_ms` ago.
 fn overload_budget(settings: &Settings, uptime_ms: Millis) -> f64 {
     let progress = (uptime_ms / settings.slow_start_ms).min(1.0);
     let cold = settings.cold_capacity_fraction;
@@ -71,7 +73,7 @@
 struct Release {
     seed: u64,
     num_replaced: u32,
-    /// Time with hardly any requests between the release and the burst.
+    /// Time in seconds between the release and the burst, with hardly any requests.
     pause_s: f64,
 }
 
@@ -83,10 +85,10 @@
 }
 
 impl Release {
-    /// Replaces servers of a fleet. A burst of six seconds follows, in each of which a tenth of the limiters
-    /// restarts.
+    /// Replaces servers of a fleet and adds a burst of six seconds. In each of these seconds a tenth of the
+    /// limiters restarts.
     fn run(&self, limiters: u32) -> ReleasedFleet {
-        let settings = |position| settings_with_low_capacity(limiters, position);
+        let settings = |position| settings_with_low_cold_capacity(limiters, position);
         let mut fleet = TestFleet::with_settings(limiters, SERVERS, self.seed, settings);
         fleet.server_capacity_per_s = CAPACITY_PER_S;
         let requests_per_s = LOAD_BEFORE * CAPACITY_PER_S * f64::from(SERVERS);
@@ -125,42 +127,43 @@
 ];
 
 #[test]
-fn a_cold_server_is_not_overloaded_by_the_sum_of_all_limiters() {
+fn a_cold_server_is_not_overloaded_by_a_burst_after_a_release() {
     for limiters in [4, 20, 30, 100, 300] {
         for release in &RELEASES {
             let ReleasedFleet { fleet, started } = release.run(limiters);
-            let Window { num_attempts, excess } = worst_window(&fleet, started);
+            let OverloadWindow { num_attempts, excess } = worst_overload_window(&fleet, started);
             let total = fleet.num_forwarded_to(started, |n| n >= FIRST_NEW_SERVER);
-            let case = format!("{limiters} limiters, seed {}: {num_attempts} in a window", release.seed);
+            let case =
+                format!("{limiters} limiters, seed {}: {num_attempts} attempts in a window", release.seed);
             println!("{case}, {excess:.1} beyond the budget; {total} in all");
             assert!(excess <= 0.0, "{case}, {excess:.1} beyond the budget");
         }
     }
 }
 
-/// Limiters of the test with a single server that starts.
+/// Number of limiters in [`a_cold_server_is_not_overloaded_by_many_limiters`], where a single server starts.
 const MANY_LIMITERS: u32 = 40;
-/// Servers of that test.
+/// Number of servers in that test.
 const FEW_SERVERS: u32 = 8;
-/// A warm server of that test.
+/// The warm server in that test whose attempts are counted.
 const WARM_SERVER: u32 = 2;
-/// The server of that test that starts.
+/// The server in that test that starts.
 const COLD_SERVER: u32 = 3;
-/// Requests of that test, one each 4 ms.
+/// Number of requests in that test, one every 4 ms.
 const NUM_REQUESTS: RequestId = 3000;
-/// The server starts before this request, so that six seconds remain.
+/// Id of the request before which the server starts, so that six seconds remain.
 const ID_AT_START: RequestId = 1500;
 /// Window in which attempts at the server that has just started are counted, in milliseconds.
-const WINDOW_MS: Millis = 400.0;
+const ATTEMPT_WINDOW_MS: Millis = 400.0;
 
 /// Counts the attempts that many limiters forward after a server has started.
 #[derive(Default)]
 struct AttemptCounter {
     num_attempts: u32,
     num_at_warm: u32,
-    /// Times of the attempts at the server that has started, within the present window.
+    /// Times of the attempts at the started server within the present window.
     recent_at_cold: VecDeque<Millis>,
-    /// Largest number of attempts at that server in a window.
+    /// Largest number of attempts at the started server in any window so far.
     worst_at_cold: u32,
 }
 
@@ -177,14 +180,14 @@
 
     /// Moves the window to the present.
     fn advance(&mut self, now: Millis) {
-        while self.recent_at_cold.front().is_some_and(|at| now - at > WINDOW_MS) {
+        while self.recent_at_cold.front().is_some_and(|at| now - at > ATTEMPT_WINDOW_MS) {
             self.recent_at_cold.pop_front();
         }
         self.worst_at_cold = self.worst_at_cold.max(self.recent_at_cold.len() as u32);
     }
 
-    /// Returns the attempts per second at a warm server: at least half of an even share.
-    fn at_warm_per_s(&self) -> f64 {
+    /// Returns the attempts per second at the warm server, or at half of an even share if that is more.
+    fn warm_attempts_per_s(&self) -> f64 {
         let at_warm = self.num_at_warm.max(self.num_attempts / (2 * FEW_SERVERS));
         f64::from(at_warm) / 6.0
     }
@@ -198,8 +201,8 @@
     }
 }
 
-/// Starts a server under load and counts the attempts after that.
-fn attempts_after_a_start(seed: u64) -> AttemptCounter {
+/// Starts a server under load, and counts the attempts that limiters forward afterwards.
+fn count_attempts_after_start(seed: u64) -> AttemptCounter {
     let mut network = TestNetwork::new(MANY_LIMITERS, FEW_SERVERS, seed);
     let mut rng = fastrand::Rng::with_seed(seed);
     let mut counter = AttemptCounter::default();
@@ -222,38 +225,39 @@
     counter
 }
 
-/// Guards against attempts of many limiters that are harmless each but together overload a server that has
+/// Guards against attempts of many limiters, each of them harmless, that together overload a server that has
 /// just started.
 #[test]
 fn a_cold_server_is_not_overloaded_by_many_limiters() {
     for seed in 0..5 {
-        let counter = attempts_after_a_start(seed);
+        let counter = count_attempts_after_start(seed);
         let worst_at_cold = counter.worst_at_cold;
-        let at_warm_per_s = counter.at_warm_per_s();
-        // The server fails at three times a fifth of a warm server's capacity, which is more than what a warm
-        // server gets here.
+        let warm_attempts_per_s = counter.warm_attempts_per_s();
+        // The cold server fails under three times a fifth of a warm server's capacity. That is more than the
+        // load of a warm server in this test.
         assert!(
-            f64::from(worst_at_cold) <= at_warm_per_s,
-            "seed {seed}: {worst_at_cold} in the worst window, a warm one gets {at_warm_per_s} a second"
+            f64::from(worst_at_cold) <= warm_attempts_per_s,
+            "seed {seed}: {worst_at_cold} in the worst window, {warm_attempts_per_s}/s at a warm server"
         );
     }
 }
 
-/// Offsets between the clock of the announced start times and the clock of a limiter.
+/// Offsets in milliseconds between the clock of the announced start times and the clock of a limiter.
 const CLOCK_OFFSETS_MS: [Millis; 7] = [0.0, -3.0e3, -1.0e4, -3.6e6, 3.0e3, 1.0e4, 3.6e6];
 
-/// Start of the limiters on their own clock: so late that all announced start times are positive.
+/// Start of the limiters on their own clock, late enough for all announced start times to be positive.
 const START_MS: Millis = 1.0e8;
 
-/// Requests that a limiter with three warm servers forwards to server 9 out of ten per second.
-struct Forwarded {
+/// Number of requests that a limiter with three warm servers forwards to server 9, out of ten requests per
+/// second.
+struct ForwardedToCold {
     in_first_2_s: usize,
     in_30_s: usize,
 }
 
-/// Sends requests to a limiter to which server 9 has just been announced.
-fn forwarded_to_cold(mut limiter: TestLimiter) -> Forwarded {
-    let mut forwarded = Forwarded { in_first_2_s: 0, in_30_s: 0 };
+/// Submits requests to a limiter to which server 9 has just been announced.
+fn count_forwarded_to_cold(mut limiter: TestLimiter) -> ForwardedToCold {
+    let mut forwarded = ForwardedToCold { in_first_2_s: 0, in_30_s: 0 };
     for id in 0..300 {
         let servers = forwarded_to(&limiter.submit(request(id, IDEMPOTENT, UNLIMITED)));
         let to_cold = servers.iter().filter(|to| **to == server(9)).count();
@@ -265,52 +269,52 @@
     forwarded
 }
 
-/// Asserts that a server gets little at first and its full share once it is warm, at any offset between the
-/// clocks.
-fn assert_same_slow_start_at_any_offset(forwarded: impl Fn(Millis) -> Forwarded) {
+/// Asserts that a server gets few requests at first and its full share once it is warm, and the same numbers
+/// of requests at any offset between the clocks.
+fn assert_same_slow_start_at_any_offset(forwarded: impl Fn(Millis) -> ForwardedToCold) {
     let without_offset = forwarded(0.0);
-    let Forwarded { in_first_2_s, in_30_s } = without_offset;
-    assert!(in_first_2_s <= 3, "{in_first_2_s} to a cold server");
-    assert!(in_30_s >= 40, "{in_30_s} to a server that is warm after 10 s");
+    let ForwardedToCold { in_first_2_s, in_30_s } = without_offset;
+    assert!(in_first_2_s <= 3, "{in_first_2_s} requests to a cold server");
+    assert!(in_30_s >= 40, "{in_30_s} requests to a server that is warm after 10 s");
     for offset_ms in CLOCK_OFFSETS_MS {
-        let Forwarded { in_first_2_s, in_30_s } = forwarded(offset_ms);
+        let ForwardedToCold { in_first_2_s, in_30_s } = forwarded(offset_ms);
         assert_eq!(in_first_2_s, without_offset.in_first_2_s, "offset {offset_ms} ms");
         assert_eq!(in_30_s, without_offset.in_30_s, "offset {offset_ms} ms");
     }
 }
 
-/// A limiter that runs when the start of a server is announced dates the start by its own clock. A stepped
-/// wall clock neither skips the slow start of the server nor prolongs it.
+/// A limiter that is running when the start of a server is announced measures the start on its own clock. A
+/// stepped wall clock neither skips the slow start of the server nor prolongs it.
 #[test]
-fn a_start_that_is_announced_to_a_running_limiter_is_dated_by_its_own_clock() {
+fn a_running_limiter_measures_announced_starts_on_its_own_clock() {
     let forwarded = |offset_ms: Millis| {
         let mut limiter = TestLimiter::started_at(START_MS, settings_of_only_limiter(), 1, 3);
         limiter.advance(1000.0);
         let started = limiter.now - 500.0 + offset_ms;
         limiter.change_endpoints(vec![started_at(9, started)]);
-        forwarded_to_cold(limiter)
+        count_forwarded_to_cold(limiter)
     };
     assert_same_slow_start_at_any_offset(forwarded);
 }
 
-/// A new limiter cannot tell how long ago the latest start on its first list was. The limiter dates that
-/// start at the present, whatever its wall clock reads, and the other starts as much earlier as they are
-/// announced to be.
+/// A new limiter cannot know how long ago the latest start on its first list was. The limiter assumes that
+/// this start has just happened, regardless of the offset between the clocks, and that the other starts
+/// happened earlier by the differences between the announced start times.
 #[test]
-fn a_new_limiter_dates_starts_by_the_latest_one_on_its_list() {
+fn a_new_limiter_measures_starts_from_the_latest_start_on_its_list() {
     let forwarded = |offset_ms: Millis| {
         let mut limiter = TestLimiter::without_endpoints(START_MS, settings_of_only_limiter());
         let latest = limiter.now - 500.0 + offset_ms;
         let warm = (0..3).map(|n| started_at(n, latest - 60_000.0));
         limiter.replace_endpoints(warm.chain([started_at(9, latest)]).collect());
-        forwarded_to_cold(limiter)
+        count_forwarded_to_cold(limiter)
     };
     assert_same_slow_start_at_any_offset(forwarded);
 }
 
-/// A release may follow a quiet time, in which no throughput was measured, and may replace all servers.
+/// A release may replace all servers after an idle time in which no throughput was measured.
 #[test]
-fn servers_that_are_all_replaced_after_a_quiet_time_get_some_requests() {
+fn servers_that_are_all_replaced_after_an_idle_time_get_some_requests() {
     let mut limiter = TestLimiter::started_at(START_MS, settings_of_only_limiter(), 1, 3);
     limiter.submit(request(1, IDEMPOTENT, UNLIMITED));
     limiter.respond(1, 10.0);
@@ -324,14 +328,15 @@
         limiter.respond(id, 10.0);
         forwarded += forwarded_to(&limiter.advance(50.0)).len();
     }
-    // Whatever its capacity, a cold server tolerates three requests in 2 s by the settings: N + 3 root N + 3.
+    // With these settings, a cold server tolerates N + 3 x sqrt(N) + 3 requests in 2 s, so at least three
+    // regardless of its capacity.
     assert!(forwarded >= 5, "{forwarded} of 100 requests were forwarded in 5 s to three cold servers");
 }
 
-/// The latest start on a new limiter's first list is dated at the present, unless the wall clocks prove it to
-/// be hours old: a fleet that was started all at once three hours ago is warm.
+/// A new limiter assumes that the latest start on its first list has just happened, unless the wall clocks
+/// prove that it happened hours ago: servers that all started three hours ago are warm.
 #[test]
-fn a_new_limiter_takes_servers_that_started_hours_ago_for_warm() {
+fn servers_that_started_hours_ago_are_warm_for_a_new_limiter() {
     const UNIX_MS: Millis = 1.8e12;
     const THREE_HOURS_MS: Millis = 3.0 * 3.6e6;
     let limiter = Limiter::new(settings_of_only_limiter(), 1, START_MS).expect("valid settings");
--- a/limiter-core/tests/timer_tokens.rs
+++ b/limiter-core/tests/timer_tokens.rs
@@ -13,7 +13,7 @@
 ];
 
 #[test]
-fn an_encoded_token_is_decoded() {
+fn decoding_an_encoded_token_returns_the_token() {
     for token in TOKENS {
         assert_eq!(TimerToken::decode(token.encode()), Some(token));
     }
--- a/limiter-core/tests/tombstones.rs
+++ b/limiter-core/tests/tombstones.rs
@@ -7,20 +7,20 @@
 use common::*;
 use limiter_core::*;
 
-/// Limiters of the network.
+/// Number of limiters in the network.
 const LIMITERS: u32 = 6;
-/// Servers of most tests.
-const FEW: u32 = 4;
-/// Servers of a usual fleet: so many that the tombstones of a release do not fit into one message.
-const MANY: u32 = 200;
+/// Number of servers in most tests.
+const FEW_SERVERS: u32 = 4;
+/// Number of servers in a typical fleet: so many that the tombstones of a release do not fit into one
+/// message.
+const MANY_SERVERS: u32 = 200;
 /// Position of the limiter that is restarted while discovery does not answer.
 const RESTARTED: usize = 5;
-/// A limiter that discovery does not answer accepts clients this long after it has installed its configured
-/// list.
+/// Time after which a limiter that gets no answer from discovery accepts clients, counted from the
+/// installation of its configured endpoint list.
 const TIME_TO_READINESS_MS: Millis = 250.0;
 
-/// Returns a network of limiters that have been notified of these changes. The endpoint list is pushed to
-/// them.
+/// Returns a network of limiters that discovery has notified of these changes.
 fn network_notified_of(servers: u32, changes: &[Endpoint]) -> TestNetwork {
     let mut network = TestNetwork::new(LIMITERS, servers, 7);
     network.advance(1000.0);
@@ -36,8 +36,8 @@
     network.advance(500.0);
 }
 
-/// Replaces a limiter by a new process that installs a stale configured list and that discovery does not
-/// answer.
+/// Replaces a limiter by a new process that gets no answer from discovery and installs a stale configured
+/// list.
 fn restart_during_outage(network: &mut TestNetwork, servers: u32) {
     let settings = settings_among(LIMITERS, RESTARTED as u32);
     network.limiters[RESTARTED] = TestLimiter::without_endpoints(network.now, settings);
@@ -64,43 +64,44 @@
     servers
 }
 
-/// What the agent of any limiter was notified of before an outage counts as announced to a process that
-/// starts during the outage. Only the peers of that process can report it.
+/// A change that any limiter was notified of before an outage is considered announced to a process that
+/// starts during the outage. The process can learn of the change only from its peers.
 #[test]
 fn a_limiter_that_starts_in_an_outage_learns_of_departed_servers_from_its_peers() {
     for changes in [vec![draining(0)], vec![draining(0), draining(1), draining(2)]] {
         let num_drained = changes.len() as u32;
-        let mut network = network_notified_of(FEW, &changes);
-        restart_during_outage(&mut network, FEW);
-        let expected: Vec<ServerId> = (num_drained..FEW).map(server).collect();
+        let mut network = network_notified_of(FEW_SERVERS, &changes);
+        restart_during_outage(&mut network, FEW_SERVERS);
+        let expected: Vec<ServerId> = (num_drained..FEW_SERVERS).map(server).collect();
         assert_eq!(servers_used(&mut network), expected);
     }
 }
 
-/// Server 0 has drained and takes requests again: the announcement removes its tombstone.
+/// Server 0 was draining and accepts requests again: the announcement removes its tombstone.
 #[test]
-fn a_server_that_is_back_is_no_longer_reported_as_departed() {
-    let mut network = network_notified_of(FEW, &[draining(0), draining(1)]);
+fn a_server_that_serves_again_is_no_longer_reported_as_departed() {
+    let mut network = network_notified_of(FEW_SERVERS, &[draining(0), draining(1)]);
     notify_all(&mut network, &[endpoint(0)]);
-    restart_during_outage(&mut network, FEW);
+    restart_during_outage(&mut network, FEW_SERVERS);
     assert_eq!(servers_used(&mut network), [server(0), server(2), server(3)]);
 }
 
-/// Outages last: a change that was announced a minute before the start of the process is still reported.
+/// An outage may last long: a change that was announced a minute before the start of the process is still
+/// reported.
 #[test]
-fn tombstones_are_remembered_through_a_long_outage() {
-    let mut network = network_notified_of(FEW, &[draining(0)]);
+fn tombstones_are_reported_throughout_a_long_outage() {
+    let mut network = network_notified_of(FEW_SERVERS, &[draining(0)]);
     network.advance(60_000.0);
-    restart_during_outage(&mut network, FEW);
+    restart_during_outage(&mut network, FEW_SERVERS);
     assert_eq!(servers_used(&mut network), [server(1), server(2), server(3)]);
 }
 
-/// A release may replace six in ten servers at once. Their tombstones take several messages.
+/// A release may replace six in ten servers at the same time. Their tombstones need several messages.
 #[test]
-fn all_tombstones_of_a_large_release_are_learned() {
-    let num_drained = MANY * 6 / 10;
-    let mut network = network_notified_of(MANY, &(0..num_drained).map(draining).collect::<Vec<_>>());
-    restart_during_outage(&mut network, MANY);
+fn a_restarted_limiter_learns_all_tombstones_of_a_large_release() {
+    let num_drained = MANY_SERVERS * 6 / 10;
+    let mut network = network_notified_of(MANY_SERVERS, &(0..num_drained).map(draining).collect::<Vec<_>>());
+    restart_during_outage(&mut network, MANY_SERVERS);
     let departed: Vec<ServerId> = (0..num_drained).map(server).collect();
     let used = servers_used(&mut network);
     assert!(!used.is_empty());
