--- a/limiter/src/discovery/backoff.rs
+++ b/limiter/src/discovery/backoff.rs
@@ -32,9 +32,10 @@
         self.current.mul_f64(self.rng.f64())
     }
 
-    /// Returns the wait after a watch that failed or ended too soon, with equal jitter. `elapsed` is the time
-    /// since the request. The wait ends at the latest when the maximum backoff has passed since the request,
-    /// and is zero if that time has passed already.
+    /// Returns the wait after a request that failed or a watch that ended too soon, with equal jitter.
+    /// `elapsed` is the time since a failed request was sent, or zero after a watch. The wait ends at the
+    /// latest when the maximum backoff has passed since the failed request was sent, and is zero if that time
+    /// has passed already.
     pub fn after_failure(&mut self, elapsed: Duration) -> Duration {
         self.current = (self.current * GROWTH_FACTOR).min(self.policy.max_backoff);
         let longest = self.current.min(self.policy.max_backoff.saturating_sub(elapsed));
--- a/limiter/src/discovery/policy.rs
+++ b/limiter/src/discovery/policy.rs
@@ -5,8 +5,8 @@
 use limiter_core::Settings;
 
 /// Time without a list or a keep-alive after which a watch times out. Discovery sends a keep-alive every 2 s.
-/// A limiter is expected to know the changes that a silent watch misses 6 s after the watch fell silent. This
-/// timeout leaves enough time for the longest first backoff ([`SUBSCRIBED_MAX_INITIAL_BACKOFF`]) and a
+/// Within 6 s after a watch fell silent, a limiter is expected to know the changes that the watch has missed.
+/// This timeout leaves enough time for the longest initial backoff ([`SUBSCRIBED_MAX_INITIAL_BACKOFF`]) and a
 /// response.
 pub const MAX_SILENCE: Duration = Duration::from_millis(2500);
 
@@ -15,7 +15,7 @@
 /// received. No time without a watch may therefore exceed 250 ms, the time for which the rules allow requests
 /// to a draining server.
 const PUSHED_RESPONSE_TIMEOUT: Duration = Duration::from_millis(200);
-/// Upper bound of the first backoff where a local agent pushes lists.
+/// Initial backoff where a local agent pushes lists.
 const PUSHED_INITIAL_BACKOFF: Duration = Duration::from_millis(25);
 /// Upper bound of every backoff where a local agent pushes lists. The sum with [`PUSHED_RESPONSE_TIMEOUT`] is
 /// 250 ms.
@@ -24,23 +24,23 @@
 /// Response timeout where limiters subscribe to lists, after which the backoff before the next request
 /// begins.
 const SUBSCRIBED_RESPONSE_TIMEOUT: Duration = Duration::from_millis(2500);
-/// Lowest upper bound of the first backoff where limiters subscribe to lists. Applies to small fleets.
+/// Lower limit of the initial backoff where limiters subscribe to lists. Applies to small fleets.
 const SUBSCRIBED_MIN_INITIAL_BACKOFF: Duration = Duration::from_millis(50);
-/// Amount by which each limiter of a fleet raises the upper bound of the first backoff. One discovery serves
-/// the whole fleet. If all watches fail at once and the limiters reconnect in step, each request queues among
-/// requests that have timed out, and no watch is ever opened.
+/// Amount by which each limiter of a fleet raises the initial backoff. One discovery serves the whole fleet.
+/// If all watches fail at once and the limiters reconnect in step, each request queues among requests that
+/// have timed out, and no watch is ever opened.
 const SUBSCRIBED_INITIAL_BACKOFF_PER_LIMITER: Duration = Duration::from_millis(20);
-/// Highest upper bound of the first backoff. [`MAX_SILENCE`] leaves enough time for this backoff.
+/// Upper limit of the initial backoff. [`MAX_SILENCE`] leaves enough time for this backoff.
 const SUBSCRIBED_MAX_INITIAL_BACKOFF: Duration = Duration::from_secs(2);
-/// Lowest upper bound of every backoff where limiters subscribe to lists. Applies to small fleets.
+/// Lower limit of the maximum backoff where limiters subscribe to lists. Applies to small fleets.
 const SUBSCRIBED_MIN_BACKOFF_CAP: Duration = Duration::from_secs(1);
-/// Amount by which each limiter of a fleet raises the upper bound of every backoff.
+/// Amount by which each limiter of a fleet raises the maximum backoff.
 const SUBSCRIBED_BACKOFF_CAP_PER_LIMITER: Duration = Duration::from_millis(100);
-/// Highest upper bound of every backoff, and longest time from the start of a failed request to the start of
-/// the next one. A limiter is expected to know a change 6 s after discovery has received it and can be
-/// reached, regardless of earlier failures, so this bound leaves 2 s for the response. While all requests of
-/// a fleet of n limiters fail, the mean wait is three quarters of this bound, and the fleet sends n / 3
-/// requests a second.
+/// Upper limit of the maximum backoff, and longest time from the start of a failed request to the start of
+/// the next one. A limiter is expected to know a change at most 6 s after discovery has received it and can
+/// be reached, regardless of earlier failures, so this limit leaves 2 s for the response. While all requests
+/// of a fleet of n limiters fail immediately, the mean wait is three quarters of this limit, and the fleet
+/// sends n / 3 requests a second.
 const SUBSCRIBED_MAX_BACKOFF_CAP: Duration = Duration::from_secs(4);
 
 /// The timeouts and the bounds of the backoff of watch requests.
@@ -49,9 +49,10 @@
     /// Longest time from the start of a request to the head of its response. A request that exceeds this time
     /// is slow: it stays in flight beside the next request.
     pub response_timeout: Duration,
-    /// Upper bound of the first backoff.
+    /// Upper bound of the backoff after a watch that announced a list or lasted long enough. Each failure in
+    /// a row doubles the bound, from the first failure on.
     pub initial_backoff: Duration,
-    /// Upper bound of every backoff, regardless of the number of failures.
+    /// Maximum backoff: the upper bound of every backoff, regardless of the number of failures.
     pub max_backoff: Duration,
     /// Whether the next request follows without a backoff after a request that timed out or a watch that fell
     /// silent.
--- a/limiter/src/discovery/policy/tests.rs
+++ b/limiter/src/discovery/policy/tests.rs
@@ -18,8 +18,8 @@
     assert!(longest + policy.response_timeout <= Duration::from_millis(250), "{:?}", policy.response_timeout);
 }
 
-/// The bound on silence also applies where limiters subscribe to lists: a limiter is expected to know the
-/// changes that a silent watch missed 6 s after the watch fell silent.
+/// The bound on silence also applies where limiters subscribe to lists: within 6 s after a watch fell silent,
+/// a limiter is expected to know the changes that the watch has missed.
 #[test]
 fn a_silent_watch_of_a_large_fleet_is_requested_again_within_5_s() {
     let mut backoff = Backoff::new(subscribed_policy(300), 1);
@@ -27,9 +27,10 @@
     assert!(MAX_SILENCE + longest <= Duration::from_secs(5), "{longest:?}");
 }
 
-/// A limiter is expected to know a change 6 s after discovery has received it and can be reached, regardless
-/// of earlier failures: a request that was refused immediately, rejected after a wait, or never answered. The
-/// next request starts at most 4 s after the start of the failed one, which leaves 2 s for the response.
+/// A limiter is expected to know a change at most 6 s after discovery has received it and can be reached,
+/// regardless of earlier failures: a request that was refused immediately, rejected after a wait, or never
+/// answered. The next request starts at most 4 s after the start of the failed one, which leaves 2 s for the
+/// response.
 #[test]
 fn requests_after_any_failure_are_at_most_4_s_apart() {
     for limiters in [4, 40, 300, 500] {
--- a/limiter/src/discovery/source.rs
+++ b/limiter/src/discovery/source.rs
@@ -54,8 +54,8 @@
         self.newest.get()
     }
 
-    /// Waits for a change of the address. A change before the call completes the wait immediately; several
-    /// changes complete only one wait. Cancelling loses no change.
+    /// Waits for a change of the address. If the address has changed since the last wait, returns
+    /// immediately; several such changes complete only one wait. Cancelling loses no change.
     pub async fn changed(&self) {
         self.changed.notified().await;
     }
--- a/limiter/src/discovery/watch.rs
+++ b/limiter/src/discovery/watch.rs
@@ -62,8 +62,9 @@
     }
 
     /// Watches the source until there is a newer one and the present watch has ended. A watch that ends,
-    /// fails or falls silent is reopened from the last version. Its connection is closed before the wait for
-    /// the next watch.
+    /// fails or falls silent is reopened from the last version. If a list could not be read, and the watch
+    /// had read no list of another version before, the next watch begins with the complete list. The
+    /// connection of a watch is closed before the wait for the next one.
     ///
     /// Cancelling ends the watch and closes all its connections. Lists that were read have been applied.
     pub async fn run(mut self) {
@@ -108,7 +109,8 @@
         let is_silent = matches!(ended.error, WatchError::Silent);
         let elapsed = ended.requested_at.elapsed();
         // A watch that fell silent has lasted for at least MAX_SILENCE, regardless of what it announced. Any
-        // other watch that ended early is a failure, unless a list of another version was read.
+        // other watch that ended within the maximum backoff is a failure, unless a list of another version
+        // was read.
         let lasted_long_enough = ended.was_accepted && (is_silent || elapsed > self.policy.max_backoff);
         let backoff = if ended.has_progressed || lasted_long_enough {
             self.backoff.after_success()
@@ -150,8 +152,8 @@
     /// Reads one frame, and applies the lists that this frame completes.
     ///
     /// # Errors
-    /// Why the watch has ended. After a list that cannot be read, the watch is reopened from the last version
-    /// that could be read.
+    /// Why the watch has ended. A list that cannot be read ends the watch; see [`Watch::run`] for the version
+    /// from which the watch is reopened.
     async fn read_frame(&mut self, reader: &mut ListReader, body: &mut Incoming) -> Result<(), WatchError> {
         let frame = reader.next_frame(body).await?;
         if self.target.is_superseded(self.source.number) {
