--- a/limiter/src/config/limits.rs
+++ b/limiter/src/config/limits.rs
@@ -9,8 +9,9 @@
 /// descriptors are always open: the three standard streams, two for events and one for wake-ups, five for
 /// signals (a receiver, and a sender for each of the four signals), the listener and the gossip socket. At
 /// most six more are open temporarily: the watches on the old and the new discovery with a slow request each,
-/// the configuration file during a reload, and a client that is being accepted. The three descriptors beyond
-/// this number are covered by the sixth of the connections that stays spare, which is at least eight.
+/// the configuration file during a reload, and a client that is being accepted. Three of these nineteen
+/// exceed the reserved number. The sixth of the connections that stays spare, at least eight, covers these
+/// three.
 const RESERVED_DESCRIPTORS: usize = 16;
 /// Lowest number of connections that the platform's limits must allow. Of 48 connections, 24 are for clients,
 /// 16 for servers, and 8 are spare.
@@ -21,8 +22,8 @@
 const SERVER_DIVISOR: usize = 3;
 
 /// Divisor of the memory for the bytes that are read ahead beyond the amount that each client connection may
-/// always hold. These bytes use only a part of the sixth that the connections leave spare, because a buffer
-/// may allocate twice its content.
+/// always hold. A buffer may allocate twice its content, so these bytes take up to an eighth of the memory,
+/// less than the sixth that the spare connections leave.
 const READ_AHEAD_DIVISOR: f64 = 16.0;
 /// Bytes in a megabyte, as the platform counts memory.
 const BYTES_PER_MB: f64 = 1e6;
--- a/limiter/src/observability/tests.rs
+++ b/limiter/src/observability/tests.rs
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn the_operations_page_has_every_log_event() {
+fn the_operations_page_lists_exactly_the_log_events() {
     let sources = repository().join("limiter/src");
     let events: BTreeSet<LoggedEvent> =
         read_sources(&sources).iter().flat_map(|source| source_events::events_in(source)).collect();
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn the_operations_page_has_every_counter_and_label_value() {
+fn the_operations_page_lists_exactly_the_counters_and_label_values() {
     assert_same_rows("counters", &counter_names(), &OperationsPage::read().counters());
 }
 
--- a/limiter/src/runtime/arrival.rs
+++ b/limiter/src/runtime/arrival.rs
@@ -1,10 +1,11 @@
 //! Estimates when the bytes that are being read reached this host.
 //!
 //! The timeout of a client begins with the arrival of its request, regardless of when the request is read.
-//! The system does not report when the bytes arrived; it is only known that they had not arrived when the
-//! event loop last ran. The time between that iteration and the read is the possible wait. The possible wait
-//! is subtracted from the deadline that servers receive, because a server must not be given more time than
-//! the client has left. A request is not abandoned because of its possible wait.
+//! The system does not report when the bytes arrived. Unless the process has stalled, the time of the read is
+//! taken as the time of arrival. After a stall, it is only known that the bytes had not arrived when the
+//! event loop last ran before the stall. The time between that iteration and the read is the possible wait.
+//! The possible wait is subtracted from the deadline that servers receive, because a server must not be given
+//! more time than the client has left. A request is not abandoned because of its possible wait.
 
 use std::cell::Cell;
 use std::time::{Duration, Instant};
@@ -63,7 +64,7 @@
     }
 
     /// Records an iteration of the event loop, and returns how long the process stalled before it, if it did.
-    /// Must be called at least once in [`MAX_ITERATION_INTERVAL`].
+    /// Must be called at least once every [`MAX_ITERATION_INTERVAL`].
     pub fn record_iteration(&self) -> Option<Duration> {
         let now = Instant::now();
         let last_iteration = self.last_iteration.replace(now);
