--- a/fault-shim/src/transfers.rs
+++ b/fault-shim/src/transfers.rs
@@ -46,8 +46,8 @@
     }
 }
 
-/// Replaces the error of some calls that failed because of a reset by another error that Linux reports for a
-/// broken connection. Returns `result` unchanged.
+/// Changes the `errno` of some calls that failed with ECONNRESET to ETIMEDOUT or EHOSTUNREACH, which Linux
+/// also reports for broken connections. Returns `result` unchanged.
 fn vary_reset(result: ssize_t) -> ssize_t {
     if result < 0 && errno() == libc::ECONNRESET && should_inject(Fault::Broken) {
         set_errno(random_error(&[libc::ETIMEDOUT, libc::EHOSTUNREACH]));
--- a/simulator-adapter/tests/pinned_bytes.rs
+++ b/simulator-adapter/tests/pinned_bytes.rs
@@ -168,7 +168,7 @@
 }
 
 #[test]
-fn rejections_with_and_without_retry_after() {
+fn retry_after_is_sent_only_if_allowed() {
     assert_golden("rejection_with_retry_after");
     assert_golden("rejection_without_retry_after");
 }
--- a/soak/src/clients/mod.rs
+++ b/soak/src/clients/mod.rs
@@ -30,9 +30,9 @@
 /// Fraction of the clients that pipeline requests.
 const PIPELINING_FRACTION: f64 = 0.03;
 /// Maximum number of attempts to deliver a request, each to a random member of the customer's quota.
-const MAX_CONNECT_ATTEMPTS: usize = 3;
+const MAX_DELIVERY_ATTEMPTS: usize = 3;
 /// Delay after a failed delivery.
-const CONNECT_RETRY_DELAY: Duration = Duration::from_millis(20);
+const DELIVERY_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// All clients of a run.
 pub struct Clients {
@@ -99,13 +99,13 @@
             let requests = [request, self.draw_request(&mut rng), self.draw_request(&mut rng)];
             return self.send_pipelined(&requests).await;
         }
-        for _ in 0..MAX_CONNECT_ATTEMPTS {
+        for _ in 0..MAX_DELIVERY_ATTEMPTS {
             let member = rng.random_range(0..request.num_members);
             let limiter = (request.first_member + member) % self.limiters.len();
             if self.send(&request, limiter, &mut rng).await == Delivery::Delivered {
                 return;
             }
-            sleep(CONNECT_RETRY_DELAY).await;
+            sleep(DELIVERY_RETRY_DELAY).await;
         }
     }
 
--- a/soak/src/clients/pipeline.rs
+++ b/soak/src/clients/pipeline.rs
@@ -42,8 +42,8 @@
         is_first: bool,
     ) {
         let time_left = (request.timeout + RESPONSE_GRACE).saturating_sub(written_at.elapsed());
-        // Responses arrive in the order of the requests: the response to a later request cannot arrive before
-        // the one ahead of it, regardless of the later request's own timeout.
+        // Responses arrive in the order of the requests, regardless of the timeout of each. The response to a
+        // later request therefore gets at least the grace period after the wait for the one ahead of it.
         let max_wait = if is_first { time_left } else { time_left.max(RESPONSE_GRACE) };
         match timeout(max_wait, limiter_connection.connection.read(MessageKind::Response)).await {
             Ok(Ok(response)) => self.record_outcome(request.id, request.outcome(&response)),
--- a/soak/src/clients/request.rs
+++ b/soak/src/clients/request.rs
@@ -17,7 +17,7 @@
 const MAX_MEMBERS: usize = 4;
 /// Fraction of the requests with a very short timeout.
 const SHORT_TIMEOUT_FRACTION: f64 = 0.01;
-/// Body of a request that is not idempotent.
+/// Body of each POST request.
 const BODY: &str = "order";
 
 /// A client's request, as drawn before it is sent.
--- a/soak/src/cost.rs
+++ b/soak/src/cost.rs
@@ -19,7 +19,8 @@
 use crate::record::{Record, ServerRecord, SharedRecord};
 use crate::server::{Server, ServerOptions};
 
-/// Number of servers that run. All servers of the endpoint list are announced at the addresses of these.
+/// Number of servers that run. Every server on the endpoint list is announced with the address of one of
+/// them.
 const NUM_RUNNING_SERVERS: usize = 12;
 /// Kernel ticks per second, the unit of processor time in `/proc`.
 const TICKS_PER_S: f64 = 100.0;
@@ -195,8 +196,8 @@
     }
 }
 
-/// Announces, at the rate of the options, alternately that a server is draining and that the same server is
-/// serving again.
+/// Announces changes of the endpoint list at the rate of the options: in turn, that a server is draining, and
+/// that the same server is serving again.
 async fn change_list(discovery: &Discovery, list: &ServerList, options: &CostOptions, until: Instant) {
     let interval = Duration::from_secs_f64(1.0 / options.changes.max(MIN_CHANGE_RATE_PER_S));
     let mut due = Instant::now();
--- a/soak/src/invariants/slow_start.rs
+++ b/soak/src/invariants/slow_start.rs
@@ -39,6 +39,8 @@
         violations
     }
 
+    /// Checks the windows that begin with the arrival of a request during the slow start of one server, and
+    /// reports the first overload. `arrivals` are the times of all requests to the server, in order.
     fn check_slow_start(
         &self,
         server: usize,
--- a/soak/src/run/mod.rs
+++ b/soak/src/run/mod.rs
@@ -33,7 +33,7 @@
 const QUIET_PERIOD: Duration = Duration::from_secs(8);
 /// Possible steps of the wall clocks in seconds. A run draws one of them; 0 leaves the clocks unstepped.
 const CLOCK_STEPS_S: [i64; 5] = [0, 3, -3, 3600, -3600];
-/// Per mille of the connections broken by the preloaded library that report an error other than a reset.
+/// Per mille of the resets that the preloaded library reports as another error.
 const BROKEN_PER_MILLE: u32 = 500;
 
 /// Options of a run.
--- a/soak/src/server/mod.rs
+++ b/soak/src/server/mod.rs
@@ -15,7 +15,7 @@
 use crate::net;
 use crate::record::SharedRecord;
 
-/// Maximum number of waiting requests per slot. The server rejects further requests without executing them.
+/// Number of waiting requests per slot above which the server rejects further ones without executing them.
 const MAX_WAITING_PER_SLOT: usize = 6;
 
 /// How a server responds to requests.
