--- a/limiter/src/frontend/server.rs
+++ b/limiter/src/frontend/server.rs
@@ -15,19 +15,24 @@
 /// the shutdown is due.
 const TICK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Accepts and serves connections until `stop` yields the name of a signal, and shuts down gracefully after
-/// that: shuts down the connections, closes the listener, and returns once every accepted request has been
-/// answered, or the shutdown has taken the longest time that [`limiter_core::rules::may_exit`] allows.
+/// Accepts and serves connections until `shutdown_requested` yields the name of a signal, and shuts down
+/// gracefully after that: shuts down the connections, closes the listener, and returns once every accepted
+/// request has been answered, or the shutdown has taken the longest time that
+/// [`limiter_core::rules::may_exit`] allows.
 ///
 /// Awaited by `main`. When this function has returned, `main` drops the runtime, which cancels the remaining
 /// tasks. Cancelling this future closes the listener and leaves the tasks of the connections running.
-pub async fn serve(engine: &Rc<Engine>, listener: Listener, stop: impl Future<Output = &'static str>) {
+pub async fn serve(
+    engine: &Rc<Engine>,
+    listener: Listener,
+    shutdown_requested: impl Future<Output = &'static str>,
+) {
     let connections = Rc::new(Connections::new(engine.config().max_read_ahead_bytes));
     tokio::task::spawn_local(connections.clone().sweep());
     let mut acceptor = Acceptor::new(engine.clone(), connections.clone(), listener);
     let serve_after_signal = duration::from_ms(engine.config().shutdown_accept_ms);
     let mut shutdown: Option<Shutdown> = None;
-    tokio::pin!(stop);
+    tokio::pin!(shutdown_requested);
     loop {
         let has_capacity = acceptor.has_capacity();
         if !has_capacity {
@@ -42,7 +47,7 @@
         // Every branch may be cancelled: the next iteration sees an event that a cancelled branch missed.
         tokio::select! {
             accepted = acceptor.accept(), if has_capacity => acceptor.handle_accepted(accepted).await,
-            signal = &mut stop, if shutdown.is_none() => {
+            signal = &mut shutdown_requested, if shutdown.is_none() => {
                 tracing::info!(%signal, "shutdown started");
                 shutdown = Some(Shutdown::begin(serve_after_signal));
                 engine.start_shutdown();
