--- a/limiter-core/src/dispatch.rs
+++ b/limiter-core/src/dispatch.rs
@@ -13,7 +13,8 @@
     /// Handles an event that is delivered at the time `now`, and appends the resulting actions to `out`. The
     /// caller has to execute the actions in this order.
     ///
-    /// If `now` is before the time of an earlier event, the event is handled at that later time.
+    /// The clock of a limiter never goes back: if `now` is before the time of an earlier event, the event is
+    /// handled at the time of the earlier event.
     pub fn handle(&mut self, now: Millis, event: Event, out: &mut Vec<Action>) {
         self.advance_clock(now);
         self.start_on_first_event(out);
@@ -39,7 +40,9 @@
         }
     }
 
-    /// Advances the current time, and records when the process resumed if it had stalled.
+    /// Advances the current time. If the last control step is more than [`STALL_THRESHOLD_MS`] ago, the
+    /// process has just resumed after a stall: records the current time as the time at which it resumed. Does
+    /// so for each event, up to and including the next control step.
     fn advance_clock(&mut self, now: Millis) {
         self.context.now = self.context.now.max(now);
         let since_last_step_ms = self.context.now - self.last_step_at;
@@ -80,12 +83,12 @@
     }
 
     /// Runs the periodic work: the smoothing of measurements, slow start, polls for tombstones, the feedback
-    /// of admission control, the queue, the log of ejections, and the expiry of quota records.
+    /// of admission control, the request queue, the log of ejections, and the expiry of quota records.
     ///
     /// The order matters: the feedback reads the measurements with the time constant of this step, and the
-    /// queue is drained under the slow start budgets and the slot limit of this step. The polls and the queue
-    /// draw random numbers and append actions, so any other order would also change the actions that a seed
-    /// leads to.
+    /// request queue is drained under the slow start budgets and the slot limit of this step. The polls and
+    /// the request queue draw random numbers and append actions, so any other order would also change the
+    /// actions that a seed leads to.
     fn control_step(&mut self, out: &mut Vec<Action>) {
         let now = self.context.now;
         self.last_step_at = now;
--- a/limiter-core/src/event/request.rs
+++ b/limiter-core/src/event/request.rs
@@ -2,7 +2,8 @@
 
 use super::Millis;
 
-/// Identifies a request at one limiter. No id is used twice.
+/// Identifies a request at one incarnation of a limiter, which receives no id twice. A restarted limiter may
+/// receive the ids of its earlier incarnation again.
 pub type RequestId = u32;
 /// Identifies a customer. The id is the same at every limiter.
 pub type CustomerId = u64;
--- a/limiter-core/src/event/timer.rs
+++ b/limiter-core/src/event/timer.rs
@@ -13,10 +13,10 @@
     Deadline(RequestId),
     /// The latency objective of a request has passed.
     LatencyObjective(RequestId),
-    /// The silence check of an attempt is due: whether the server of the attempt has responded to anything
-    /// since the attempt was sent.
+    /// The silence check of a request's attempt is due, which tests whether the server of the attempt has
+    /// responded to anything since the attempt was sent.
     SilenceCheck(RequestId),
-    /// The reply check of a quota request is due: whether the reply of the quota owner is late.
+    /// The reply check of a request's quota request is due, which tests whether the owner's reply is late.
     GrantReply(RequestId),
     /// The send allowance permits another gossip message.
     GossipFlush,
--- a/limiter-core/src/lib.rs
+++ b/limiter-core/src/lib.rs
@@ -14,8 +14,8 @@
 //! - **No input or output.** The crate uses no clock, thread, socket, file or shared state. Time advances
 //!   only with the times of the events.
 //! - **Control step.** Every 100 ms, a timer triggers the periodic work: slow start, polls of peers while
-//!   discovery does not answer, the feedback of admission control, the queue, the log of ejections, and the
-//!   expiry of records. All other decisions are made when an event requires them.
+//!   discovery does not answer, the feedback of admission control, the request queue, the log of ejections,
+//!   and the expiry of records. All other decisions are made when an event requires them.
 //! - **Determinism.** All random numbers are generated from the seed of a limiter. The same settings, seed,
 //!   events and times lead to the same actions, so that every run can be reproduced.
 //! - **Bounded state.** Each request ends by its deadline unless its response has begun to stream, and
--- a/limiter-core/src/limiter.rs
+++ b/limiter-core/src/limiter.rs
@@ -39,7 +39,8 @@
     pub(crate) shutdown_deadline: Millis,
     /// Whether a gossip message has shown that a peer serves requests.
     pub(crate) has_serving_peer: bool,
-    /// When this limiter last resumed after a stall of its process.
+    /// When this limiter last resumed after a stall of its process: the time of the latest event that was
+    /// handled between the stall and the end of the next control step. Negative infinity before any stall.
     pub(crate) resumed_at: Millis,
     /// When the last control step ran.
     pub(crate) last_step_at: Millis,
--- a/limiter-core/src/readiness.rs
+++ b/limiter-core/src/readiness.rs
@@ -14,8 +14,8 @@
     ///
     /// The token buckets of the ceilings that this limiter owns start as if spent, because an earlier
     /// incarnation of the limiter may have spent them. The limiter is ready when these buckets have filled.
-    /// The limiter is ready immediately if a peer already serves requests, because the running deployment
-    /// then lacks this limiter, or if the settings do not allow gossip.
+    /// The limiter is ready immediately if a peer already serves requests, because the running deployment is
+    /// short of one limiter while this one waits, or if the settings do not allow gossip.
     #[must_use]
     pub fn is_ready(&self, now: Millis) -> bool {
         let age_ms = now - self.context.started_at;
--- a/limiter-core/src/settings/request_class.rs
+++ b/limiter-core/src/settings/request_class.rs
@@ -1,4 +1,4 @@
-//! Request classes: which latency objective and which idempotency requests have.
+//! Request classes: the latency objective and the idempotency of requests.
 
 use crate::event::Millis;
 
