--- a/limiter-core/src/quota/member/grant_replies.rs
+++ b/limiter-core/src/quota/member/grant_replies.rs
@@ -11,7 +11,7 @@
 
 impl Limiter {
     /// Handles an owner's reply, including a late reply from an owner that has been skipped since. If this
-    /// limiter is the owner, `from` is its own position, and no quota request has been sent.
+    /// limiter is the owner, `from` is its own position, and the reply was not sent as gossip.
     pub(crate) fn on_grant_reply(&mut self, from: u32, reply: &GrantReply, out: &mut Vec<Action>) {
         let now = self.context.now;
         self.member_quotas.record_reply(now, reply);
--- a/limiter-core/src/quota/member/owner_health.rs
+++ b/limiter-core/src/quota/member/owner_health.rs
@@ -66,12 +66,12 @@
     pub fn is_silent(&self, owner: u32, now: Millis) -> bool {
         let are_all_silent = self.misses_since_gossip >= ALL_SILENT_MISSES;
         let asked_recently = now - self.last_request_at < ALL_SILENT_REQUEST_INTERVAL_MS;
-        (are_all_silent && asked_recently) || self.has_missed_replies(owner, now)
+        (are_all_silent && asked_recently) || self.has_too_many_misses(owner, now)
     }
 
     /// Returns whether at least [`SILENT_OWNER_MISSES`] replies of this owner were missed, the last one less
     /// than [`SILENT_OWNER_MS`] ago.
-    fn has_missed_replies(&self, owner: u32, now: Millis) -> bool {
+    fn has_too_many_misses(&self, owner: u32, now: Millis) -> bool {
         let Some(misses) = self.misses.get(&owner) else { return false };
         misses.count >= SILENT_OWNER_MISSES && now - misses.last_at < SILENT_OWNER_MS
     }
--- a/limiter-core/src/quota/owner/bucket.rs
+++ b/limiter-core/src/quota/owner/bucket.rs
@@ -46,13 +46,13 @@
     pub ceiling_fraction: f64,
     /// Token bucket of the rate quota, in units. The bucket may be overdrawn by units that members spent
     /// without asking, and by requests that cost more than their estimate.
-    pub tokens: TokenBucket,
+    pub rate_bucket: TokenBucket,
     /// Token bucket of this owner's fraction of the ceiling, in units.
-    pub ceiling: TokenBucket,
+    pub ceiling_bucket: TokenBucket,
     /// Units granted under the ceiling that a member may still spend.
     pub outstanding_units: f64,
-    /// Number of granted requests whose grants are neither settled nor expired. Requests that a member
-    /// admitted from its even share are not counted.
+    /// Number of granted requests whose grants are neither settled nor expired. Requests whose units a member
+    /// reported as already spent are not counted.
     pub in_flight: u32,
     /// Units that all members have requested, spent without asking or shed, smoothed.
     demand: DecayingSum,
@@ -75,8 +75,8 @@
             DecayingSum::new(now, burst_ms.clamp(MIN_DEMAND_TIME_CONSTANT_MS, MAX_DEMAND_TIME_CONSTANT_MS));
         OwnerQuota {
             ceiling_fraction: fractions.ceiling,
-            tokens: TokenBucket::new(plan.burst * fractions.rate_quota, now),
-            ceiling: TokenBucket::new(-plan.ceiling_slack * fractions.ceiling, ceiling_refill_start),
+            rate_bucket: TokenBucket::new(plan.burst * fractions.rate_quota, now),
+            ceiling_bucket: TokenBucket::new(-plan.ceiling_slack * fractions.ceiling, ceiling_refill_start),
             outstanding_units: 0.0,
             in_flight: 0,
             demand: empty_sum,
@@ -85,13 +85,13 @@
         }
     }
 
-    /// Refills both buckets; the bucket of the rate quota by `rate_quota_fraction` of the plan's rate and
-    /// burst. Outstanding units lower the capacity of the ceiling's bucket: a member may still spend the
-    /// units after the refill.
+    /// Refills both buckets; the bucket of the rate quota at `rate_quota_fraction` of the plan's rate, up to
+    /// the same fraction of the plan's burst. Outstanding units lower the capacity of the ceiling's bucket: a
+    /// member may still spend the units after the refill.
     pub fn refill(&mut self, now: Millis, plan: &Plan, rate_quota_fraction: f64) {
-        self.tokens.refill(now, plan.rate * rate_quota_fraction, plan.burst * rate_quota_fraction);
+        self.rate_bucket.refill(now, plan.rate * rate_quota_fraction, plan.burst * rate_quota_fraction);
         let ceiling_capacity = plan.ceiling_burst * self.ceiling_fraction - self.outstanding_units;
-        self.ceiling.refill(now, plan.ceiling_rate * self.ceiling_fraction, ceiling_capacity);
+        self.ceiling_bucket.refill(now, plan.ceiling_rate * self.ceiling_fraction, ceiling_capacity);
     }
 
     /// Records the units of a quota request as demand, with those that the member has shed since its last
@@ -101,9 +101,9 @@
     }
 
     /// Returns the customer's demand as a multiple of its quota. While the quota of attempts in flight is
-    /// full, the quota is the rate that was admitted, because the rate that a limit on attempts in flight
-    /// permits is not known in advance. Otherwise the quota is the rate of the plan; returns 0 for a plan
-    /// without a rate.
+    /// full, the demand is compared with the rate at which units were granted, because the rate that a limit
+    /// on attempts in flight permits is not known in advance. Otherwise the demand is compared with the
+    /// plan's rate; the result is 0 for a plan without a rate.
     pub fn demand_ratio(&self, now: Millis, plan: &Plan) -> f64 {
         let is_full = plan.max_in_flight > 0 && self.in_flight >= plan.max_in_flight;
         let quota = if is_full {
--- a/limiter-core/src/quota/owner/expiry.rs
+++ b/limiter-core/src/quota/owner/expiry.rs
@@ -38,8 +38,9 @@
 }
 
 impl OwnerQuota {
-    /// Releases the outstanding units and the request in flight of a grant that has reached the age for each.
-    /// A settlement may be lost, so a request counts as in flight for the longest latency objective at most.
+    /// Releases the outstanding units of a grant that is older than [`GRANT_VALIDITY_MS`], and the request in
+    /// flight of a grant that is older than the longest latency objective: a settlement may be lost, which
+    /// must not keep a request in flight forever.
     fn expire_grant(&mut self, grant: &mut Grant, age_ms: Millis, max_objective_ms: Millis) {
         if age_ms > GRANT_VALIDITY_MS {
             self.release_outstanding_units(grant);
--- a/limiter-core/src/quota/owner/grants.rs
+++ b/limiter-core/src/quota/owner/grants.rs
@@ -40,7 +40,7 @@
     /// Decides on a quota request and spends the granted units. Units that the member has already spent are
     /// always granted.
     pub fn decide(&mut self, now: Millis, plan: &Plan, request: &QuotaRequest) -> Decision {
-        let is_granted = request.already_spent || self.has_units_for(plan, request);
+        let is_granted = request.already_spent || self.has_capacity_for(plan, request);
         let grant = is_granted.then(|| self.grant(now, plan, request));
         Decision { quota_key: request.quota_key(), decided_at: now, grant }
     }
@@ -50,14 +50,14 @@
     /// members never spend without asking under a plan that limits attempts in flight.
     fn grant(&mut self, now: Millis, plan: &Plan, request: &QuotaRequest) -> Grant {
         let units = f64::from(request.units);
-        // The bucket is overdrawn by one burst at most, so that the quota is available again after a bounded
-        // time.
-        self.tokens.level = (self.tokens.level - units).max(-plan.burst);
+        // Grants overdraw the bucket by one burst at most, so that the quota is available again after a
+        // bounded time.
+        self.rate_bucket.level = (self.rate_bucket.level - units).max(-plan.burst);
         self.admitted.add(now, units);
         let is_in_flight = !request.already_spent;
         let is_outstanding = is_in_flight && plan.has_ceiling();
         if is_in_flight {
-            self.ceiling.level -= units;
+            self.ceiling_bucket.level -= units;
             self.in_flight += 1;
         }
         if is_outstanding {
@@ -67,12 +67,12 @@
     }
 
     /// Returns whether a request fits within the rate quota, the quota of attempts in flight and the ceiling.
-    fn has_units_for(&self, plan: &Plan, request: &QuotaRequest) -> bool {
+    fn has_capacity_for(&self, plan: &Plan, request: &QuotaRequest) -> bool {
         let units = f64::from(request.units);
-        let is_within_rate = plan.rate <= 0.0 || self.tokens.level >= units;
+        let is_within_rate = plan.rate <= 0.0 || self.rate_bucket.level >= units;
         let is_within_in_flight = plan.max_in_flight == 0 || self.in_flight < plan.max_in_flight;
         let ceiling_floor = -plan.ceiling_slack * self.ceiling_fraction;
-        let is_within_ceiling = !plan.has_ceiling() || self.ceiling.level - units >= ceiling_floor;
+        let is_within_ceiling = !plan.has_ceiling() || self.ceiling_bucket.level - units >= ceiling_floor;
         is_within_rate && is_within_in_flight && is_within_ceiling
     }
 
--- a/limiter-core/src/quota/owner/mod.rs
+++ b/limiter-core/src/quota/owner/mod.rs
@@ -42,7 +42,8 @@
     }
 
     /// Decides on a quota request and returns the reply. The reply to a duplicate contains the same
-    /// decision, with the current demand and tokens. Returns `None` if this limiter does not own the quota.
+    /// decision, with the current demand and tokens. Returns `None` if this limiter does not own the quota or
+    /// the plan is unknown.
     pub fn decide(&mut self, context: &Context, key: GrantKey, request: &QuotaRequest) -> Option<GrantReply> {
         let plan = context.settings.plans.get(request.quota_key().plan)?;
         let rank = owner_rank(context, request)?;
@@ -64,13 +65,13 @@
             member_incarnation: key.incarnation,
             granted: decision.grant.is_some(),
             demand_ratio: quota.demand_ratio(context.now, plan) as f32,
-            tokens_left: quota.tokens.level.max(0.0) as f32,
+            tokens_left: quota.rate_bucket.level.max(0.0) as f32,
         })
     }
 
-    /// Settles a grant whose request has finished: the request is no longer in flight, and the bucket is
-    /// corrected by the difference between the actual and the granted units. Ignores unknown and settled
-    /// grants.
+    /// Settles a grant whose request has finished: the request is no longer in flight, and the bucket of the
+    /// rate quota is corrected by the difference between the actual and the granted units. Ignores unknown
+    /// and settled grants.
     ///
     /// Units beyond the grant are deducted up to one burst only: a single wrong report must not deny the
     /// customer its quota for long.
@@ -81,7 +82,7 @@
         grant.is_settled = true;
         quota.release_in_flight(grant);
         let max_units = grant.units + context.settings.plans[decision.quota_key.plan].burst;
-        quota.tokens.level -= f64::from(settlement.used_units).min(max_units) - grant.units;
+        quota.rate_bucket.level -= f64::from(settlement.used_units).min(max_units) - grant.units;
     }
 }
 
