--- a/limiter-core/src/gossip/codec.rs
+++ b/limiter-core/src/gossip/codec.rs
@@ -183,8 +183,8 @@
         body
     }
 
-    /// Decodes a message. Returns `None` if the magic number or the checksum is wrong, or a line is
-    /// incomplete, invalid or of an unknown kind.
+    /// Decodes a message. Returns `None` if the header is incomplete, the magic number or the checksum is
+    /// wrong, or a line is incomplete, invalid or of an unknown kind.
     pub fn decode(body: &[u8]) -> Option<GossipMessage> {
         if body.len() < HEADER_BYTES
             || body[0] != MAGIC
--- a/limiter-core/src/gossip/flush.rs
+++ b/limiter-core/src/gossip/flush.rs
@@ -54,7 +54,7 @@
     }
 
     /// Sends as many queued messages as the allowance permits, and sets a timer for the rest. Drops lines
-    /// that are no longer of use. A message that has no other lines is not sent and is not deducted from the
+    /// that are no longer of use. A message of which no line is left is not sent and is not deducted from the
     /// allowance.
     pub(crate) fn flush_gossip(&mut self, out: &mut Vec<Action>) {
         let now = self.context.now;
--- a/limiter-core/src/gossip/queue.rs
+++ b/limiter-core/src/gossip/queue.rs
@@ -7,12 +7,12 @@
 use crate::event::{Millis, RequestId};
 use crate::token_bucket::TokenBucket;
 
-/// Largest number of queued messages. Without this bound the queue could grow too large, because hundreds of
-/// peers may poll a limiter whose send allowance is close to zero. With 256 bytes each at most, the queue
-/// holds 64 KiB of messages at most.
+/// Largest number of queued messages. Without this bound, the queue could grow without limit if hundreds of
+/// peers poll a limiter whose send allowance is close to zero. With 256 bytes each at most, the queue holds
+/// 64 KiB of messages at most.
 const MAX_QUEUED_MESSAGES: usize = 256;
-/// Time in seconds for which unused allowance accumulates. A queue that takes longer than this
-/// time to send is congested.
+/// Time in seconds for which unused allowance accumulates. A queue that takes longer than this time to send
+/// is congested.
 const BURST_S: f64 = 0.1;
 /// Shortest time to the next flush in milliseconds.
 const MIN_FLUSH_DELAY_MS: Millis = 1.0;
@@ -61,8 +61,8 @@
         self.messages.len()
     }
 
-    /// Adds a line to the first queued message to the receiver that has space for the line, or else to a new
-    /// message.
+    /// Adds a line to the first queued message for the receiver `to` in which the line fits, or to a new
+    /// message if the line fits in none.
     pub(super) fn push(&mut self, now: Millis, to: u32, line: GossipLine) {
         let message_with_space = self.messages.iter_mut().find(|message| {
             message.to == to && has_space_for(&line, message.lines.iter().map(|queued| &queued.line))
@@ -97,9 +97,9 @@
 
     /// Removes the next message to be sent, if there is one and the allowance permits one more message.
     ///
-    /// The oldest message is next if the queue is not congested: otherwise the few peers of a small
-    /// deployment would starve each other. The newest message is next if the queue is congested: if the
-    /// oldest were next, every reply would arrive too late, and the members would repeat their quota
+    /// If the queue is not congested, the oldest message is next: if the newest were next, the few peers of a
+    /// small deployment would starve each other. If the queue is congested, the newest message is next: if
+    /// the oldest were next, every reply would arrive too late, and the members would repeat their quota
     /// requests, so that the queue would grow further.
     pub(super) fn pop(&mut self, rate: f64) -> Option<QueuedMessage> {
         if self.allowance.level < 1.0 {
--- a/limiter-core/src/gossip/receive.rs
+++ b/limiter-core/src/gossip/receive.rs
@@ -54,8 +54,9 @@
     /// Decides on a member's quota request and replies. A request for a quota that this limiter does not own,
     /// or with an unknown plan, is ignored.
     ///
-    /// A quota request that arrived during a stall is handled right after the stall and is ignored: the
-    /// member no longer waits for the reply, so a grant would only waste units.
+    /// Quota requests that are handled after a stall, up to the time of the next control step, are assumed to
+    /// have arrived during the stall and are ignored: the member no longer waits for the reply, so a grant
+    /// would only waste units.
     fn on_quota_request(&mut self, key: GrantKey, request: &QuotaRequest, out: &mut Vec<Action>) {
         let has_just_resumed = self.resumed_at >= self.context.now;
         if has_just_resumed {
