--- a/limiter-core/src/admission/mod.rs
+++ b/limiter-core/src/admission/mod.rs
@@ -112,12 +112,12 @@
     }
 
     /// Adapts the time constant of the measurements to the rate of requests. Called in each control step.
-    pub fn adapt_smoothing(&mut self, now: Millis) {
-        self.signals.adapt_smoothing(now);
+    pub fn adapt_time_constant(&mut self, now: Millis) {
+        self.signals.adapt_time_constant(now);
     }
 
     /// Releases the slots of an attempt that has ended, and records its measurements.
-    pub fn attempt_ended(&mut self, now: Millis, attempt: &AttemptSummary) {
+    pub fn record_attempt_end(&mut self, now: Millis, attempt: &AttemptSummary) {
         self.slot_usage.release(attempt.slots);
         if attempt.outcome == Outcome::Cancelled {
             self.slot_usage.record_cancelled(now, attempt.slots);
--- a/limiter-core/src/admission/signals.rs
+++ b/limiter-core/src/admission/signals.rs
@@ -52,7 +52,7 @@
 
     /// Adapts the time constant to the rate of admitted requests, so that measurements are smoothed over
     /// enough samples: a limiter of a large deployment receives only a few requests per second.
-    pub fn adapt_smoothing(&mut self, now: Millis) {
+    pub fn adapt_time_constant(&mut self, now: Millis) {
         let admitted_per_ms = self.admitted_per_s(now) / 1000.0;
         let time_constant_ms = SMOOTHING_SAMPLES / admitted_per_ms.max(MIN_ADMITTED_PER_MS);
         self.set_time_constant(now, time_constant_ms.clamp(MIN_SMOOTHING_MS, MAX_SMOOTHING_MS));
--- a/limiter-core/src/dispatch.rs
+++ b/limiter-core/src/dispatch.rs
@@ -89,7 +89,7 @@
     fn control_step(&mut self, out: &mut Vec<Action>) {
         let now = self.context.now;
         self.last_step_at = now;
-        self.admission.adapt_smoothing(now);
+        self.admission.adapt_time_constant(now);
         self.endpoints.update_slow_start(&self.context);
         self.poll_peers_for_tombstones(out);
         self.admission.step_feedback(now, self.endpoints.len(), self.context.settings.limiters);
--- a/limiter-core/src/endpoints/announcements.rs
+++ b/limiter-core/src/endpoints/announcements.rs
@@ -12,7 +12,7 @@
         endpoints: &[Endpoint],
         out: &mut Vec<Action>,
     ) {
-        self.tombstones.discovery_lost = false;
+        self.tombstones.is_cut_off_from_discovery = false;
         self.apply_endpoints(complete, endpoints, out);
         // Must come after the announcement has been applied: the servers of the first announcement may have
         // started long ago, so their ages are estimated in the state before discovery was connected.
@@ -35,7 +35,7 @@
     /// host pushes the list and has already done so once: this process knows everything that the agent knows.
     pub(crate) fn on_watch_failed(&mut self, out: &mut Vec<Action>) {
         let was_connected = self.endpoints.start_times.was_ever_connected();
-        self.tombstones.discovery_lost = self.context.settings.must_subscribe || !was_connected;
+        self.tombstones.is_cut_off_from_discovery = self.context.settings.must_subscribe || !was_connected;
         self.endpoints.start_times.disconnected(self.context.now);
         out.push(Action::SubscribeToEndpoints);
     }
--- a/limiter-core/src/endpoints/attempts.rs
+++ b/limiter-core/src/endpoints/attempts.rs
@@ -20,7 +20,7 @@
 
 impl Endpoints {
     /// Records that an attempt is sent to a server. Returns `None` if the server is not announced.
-    pub(crate) fn attempt_started(&mut self, server: &ServerId) -> Option<AttemptTarget> {
+    pub(crate) fn record_attempt_start(&mut self, server: &ServerId) -> Option<AttemptTarget> {
         let record = self.by_id.get_mut(server)?;
         record.in_flight += 1;
         record.slow_start.spend();
@@ -28,7 +28,7 @@
     }
 
     /// Records the end of an attempt.
-    pub(crate) fn attempt_ended(
+    pub(crate) fn record_attempt_end(
         &mut self,
         now: Millis,
         attempt: &AttemptRecord,
@@ -63,7 +63,12 @@
     /// Returns the usual latency of a server that has not responded to any attempt since the time `since`.
     /// Returns `None` if the server has responded since then, or is not announced. For a server that was
     /// removed and announced again, the new record is used.
-    pub(crate) fn latency_if_silent(&self, now: Millis, server: &ServerId, since: Millis) -> Option<Millis> {
+    pub(crate) fn usual_latency_if_silent(
+        &self,
+        now: Millis,
+        server: &ServerId,
+        since: Millis,
+    ) -> Option<Millis> {
         let health = &self.by_id.get(server)?.health;
         if health.last_response_at < since {
             Some(health.usual_latency_ms(now, self.baseline_latency.value_ms()))
--- a/limiter-core/src/endpoints/routing.rs
+++ b/limiter-core/src/endpoints/routing.rs
@@ -78,7 +78,11 @@
     ///
     /// Servers in slow start outside of the subset are also considered if this limiter belongs to their
     /// warming set: otherwise, its part of their budget would not be used.
-    pub(crate) fn pick(&mut self, context: &mut Context, request: &PendingRequest) -> Option<ServerId> {
+    pub(crate) fn pick_server(
+        &mut self,
+        context: &mut Context,
+        request: &PendingRequest,
+    ) -> Option<ServerId> {
         let now = context.now;
         let num_servers = self.ring.len();
         let subset_size = subset_size(num_servers, context.settings.limiters);
--- a/limiter-core/src/endpoints/tombstone_gossip.rs
+++ b/limiter-core/src/endpoints/tombstone_gossip.rs
@@ -31,7 +31,7 @@
     /// [`POLL_INTERVAL_MS`] ago.
     pub(crate) fn poll_peers_for_tombstones(&mut self, out: &mut Vec<Action>) {
         let is_due = self.context.now - self.tombstones.last_poll_at >= POLL_INTERVAL_MS;
-        if self.tombstones.discovery_lost && is_due {
+        if self.tombstones.is_cut_off_from_discovery && is_due {
             self.poll_random_peer(out);
         }
     }
--- a/limiter-core/src/endpoints/tombstones.rs
+++ b/limiter-core/src/endpoints/tombstones.rs
@@ -28,7 +28,7 @@
 pub(crate) struct Tombstones {
     /// Whether this limiter is cut off from discovery. While this is the case, peers are polled and their
     /// tombstones are applied.
-    pub discovery_lost: bool,
+    pub is_cut_off_from_discovery: bool,
     /// Time of the last poll of a peer.
     pub(super) last_poll_at: Millis,
     /// The tombstones in the order in which they were recorded.
@@ -41,7 +41,7 @@
     /// Creates an empty list of tombstones, for a limiter that is not cut off from discovery.
     pub fn new() -> Self {
         Tombstones {
-            discovery_lost: false,
+            is_cut_off_from_discovery: false,
             last_poll_at: f64::NEG_INFINITY,
             recent: VecDeque::new(),
             fingerprints: HashSet::new(),
--- a/limiter-core/src/gossip/receive.rs
+++ b/limiter-core/src/gossip/receive.rs
@@ -44,7 +44,7 @@
             }
             GossipLine::TombstonePoll => self.send_tombstones(from, out),
             GossipLine::Tombstone(fingerprint) => {
-                if self.tombstones.discovery_lost {
+                if self.tombstones.is_cut_off_from_discovery {
                     self.on_tombstone(fingerprint);
                 }
             }
--- a/limiter-core/src/quota/member/fallback.rs
+++ b/limiter-core/src/quota/member/fallback.rs
@@ -122,7 +122,7 @@
 
 impl Limiter {
     /// Admits or rejects a request for which no owner can be asked.
-    pub(super) fn admit_without_owner(&mut self, id: RequestId, out: &mut Vec<Action>) {
+    pub(super) fn admit_or_reject_without_owner(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(pending) = self.requests.get_mut(id) else { return };
         match self.member_quotas.decide_without_owner(&mut self.context, &pending.request) {
             LocalDecision::Admit => {
--- a/limiter-core/src/quota/member/grant_requests.rs
+++ b/limiter-core/src/quota/member/grant_requests.rs
@@ -27,7 +27,7 @@
         while let Some(pending) = self.requests.get(id) {
             let owner = self.owner_of(&pending.request, pending.owner_rank);
             let Some(owner) = owner.filter(|_| self.is_before_reply_deadline(pending)) else {
-                return self.admit_without_owner(id, out);
+                return self.admit_or_reject_without_owner(id, out);
             };
             let quota_request = self.member_quotas.quota_request(&pending.request);
             if owner == self.context.settings.position {
@@ -59,7 +59,8 @@
         let now = self.context.now;
         let id = quota_request.id;
         self.member_quotas.owner_health.record_request(now);
-        self.requests.update(id, |pending| pending.await_reply(AwaitedReply { owner, requested_at: now }));
+        self.requests
+            .update(id, |pending| pending.record_quota_request(AwaitedReply { owner, requested_at: now }));
         let delivery_delay_ms = DELIVERY_DELAY_INTERVALS * self.context.settings.event_interval_ms;
         let after_ms = self.member_quotas.reply_wait.late_after_ms() + delivery_delay_ms;
         out.push(Action::SetTimer { after_ms, token: TimerToken::GrantReply(id) });
--- a/limiter-core/src/quota/member/local_share.rs
+++ b/limiter-core/src/quota/member/local_share.rs
@@ -8,7 +8,7 @@
 impl Limiter {
     /// Admits a request from the even share and notifies the first owner, if the share and the owner's bucket
     /// have enough units: waiting for the owner's reply would only add latency. Requests a grant otherwise.
-    pub(crate) fn spend_local_share(&mut self, id: RequestId, out: &mut Vec<Action>) {
+    pub(crate) fn admit_or_request_grant(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(pending) = self.requests.get(id) else { return };
         let request = pending.request.clone();
         let Some(owner) = self.owner_to_notify(&request) else {
--- a/limiter-core/src/request/arrival.rs
+++ b/limiter-core/src/request/arrival.rs
@@ -25,7 +25,7 @@
         let is_limited = self.context.plan(&request).is_limited();
         self.insert_request(request, out);
         if is_limited {
-            self.spend_local_share(id, out);
+            self.admit_or_request_grant(id, out);
         } else {
             self.forward_or_queue(id, out);
         }
--- a/limiter-core/src/request/attempts.rs
+++ b/limiter-core/src/request/attempts.rs
@@ -73,7 +73,7 @@
 
     /// Records an attempt as in flight, here and at its server. Does nothing if the server is not announced.
     fn record_attempt_start(&mut self, key: AttemptKey, class: usize, server: &ServerId, slots: f64) {
-        let Some(target) = self.endpoints.attempt_started(server) else { return };
+        let Some(target) = self.endpoints.record_attempt_start(server) else { return };
         let AttemptTarget { record, location } = target;
         let attempt = AttemptRecord {
             server: server.clone(),
@@ -122,8 +122,8 @@
         let objective_ms = self.context.settings.classes[attempt.class].latency_objective_ms;
         let ended =
             AttemptSummary { outcome, slots: attempt.slots, objective_ms, elapsed_ms: end.elapsed_ms };
-        self.admission.attempt_ended(now, &ended);
-        self.endpoints.attempt_ended(now, &attempt, outcome, end.elapsed_ms);
+        self.admission.record_attempt_end(now, &ended);
+        self.endpoints.record_attempt_end(now, &attempt, outcome, end.elapsed_ms);
         let Some(pending) = self.requests.get_mut(end.key.request) else { return };
         pending.is_in_flight = false;
         if !outcome.never_executed() && pending.possible_execution.is_none() {
--- a/limiter-core/src/request/pending.rs
+++ b/limiter-core/src/request/pending.rs
@@ -88,7 +88,7 @@
     }
 
     /// Records a quota request whose reply is outstanding from now on.
-    pub fn await_reply(&mut self, reply: AwaitedReply) {
+    pub fn record_quota_request(&mut self, reply: AwaitedReply) {
         self.awaited_reply = Some(reply);
         self.quota_requests += 1;
     }
--- a/limiter-core/src/request/queue.rs
+++ b/limiter-core/src/request/queue.rs
@@ -62,7 +62,8 @@
         let Some(pending) = self.requests.pending.get_mut(&id) else { return true };
         let slots = self.admission.slots_for(pending.request.cost_units);
         let has_free_slots = self.admission.has_free_slots(self.context.now, slots);
-        let server = if has_free_slots { self.endpoints.pick(&mut self.context, pending) } else { None };
+        let server =
+            if has_free_slots { self.endpoints.pick_server(&mut self.context, pending) } else { None };
         pending.is_queued = server.is_none();
         let Some(server) = server else { return false };
         self.forward(id, server, slots, out);
--- a/limiter-core/src/request/timeouts.rs
+++ b/limiter-core/src/request/timeouts.rs
@@ -130,7 +130,7 @@
     fn silence_timeout_in_ms(&self, key: AttemptKey) -> Option<Millis> {
         let now = self.context.now;
         let attempt = self.requests.attempts.get(&key)?;
-        let usual_ms = self.endpoints.latency_if_silent(now, &attempt.server, attempt.sent_at)?;
+        let usual_ms = self.endpoints.usual_latency_if_silent(now, &attempt.server, attempt.sent_at)?;
         let elapsed_ms = now - attempt.sent_at;
         Some(usual_ms * SILENCE_LATENCY_FACTOR - elapsed_ms)
     }
