--- a/limiter-core/src/endpoints/announcements.rs
+++ b/limiter-core/src/endpoints/announcements.rs
@@ -16,7 +16,7 @@
         self.apply_endpoints(complete, endpoints, out);
         // Must come after the announcement has been applied: the servers of the first announcement may have
         // started long ago, so their ages are estimated in the state before discovery was connected.
-        self.endpoints.start_times.connected();
+        self.endpoints.start_times.record_connected();
     }
 
     /// Installs the endpoint list from the configuration file. Discovery has not responded yet, which is
@@ -36,7 +36,7 @@
     pub(crate) fn on_watch_failed(&mut self, out: &mut Vec<Action>) {
         let was_connected = self.endpoints.start_times.was_ever_connected();
         self.tombstones.is_cut_off_from_discovery = self.context.settings.must_subscribe || !was_connected;
-        self.endpoints.start_times.disconnected(self.context.now);
+        self.endpoints.start_times.record_disconnected(self.context.now);
         out.push(Action::SubscribeToEndpoints);
     }
 
--- a/limiter-core/src/endpoints/attempts.rs
+++ b/limiter-core/src/endpoints/attempts.rs
@@ -50,7 +50,7 @@
     /// Records that an attempt received no response in time. The attempt itself stays in flight.
     pub(crate) fn record_timeout(&mut self, now: Millis, attempt: &AttemptRecord) {
         let Some(record) = self.record_of(attempt) else { return };
-        let ejection = record.health.record_timeout(now);
+        let ejection = record.health.record_no_response(now);
         self.log_ejection(&attempt.server, ejection);
     }
 
--- a/limiter-core/src/endpoints/outlier.rs
+++ b/limiter-core/src/endpoints/outlier.rs
@@ -1,9 +1,10 @@
 //! Outlier detection: the health of a server as observed by this limiter, and when the server is ejected.
 //!
-//! A server is ejected when its error rate is too high or when several consecutive attempts time out. The
-//! duration doubles with each ejection, up to a bound, and is reset by a good response that arrives after an
-//! ejection has ended. A server that rejects a request because it is at capacity is skipped for a short time,
-//! without an ejection.
+//! A server is ejected when its error rate is too high or when several consecutive attempts receive no
+//! response. While a server is ejected, routing uses the server only as a last resort. The duration doubles
+//! with each ejection, up to a bound, and is reset by a good response that arrives after an ejection has
+//! ended. A server that rejects a request because it is at capacity is skipped for a short time, without an
+//! ejection.
 
 use super::latency::SmoothedLatency;
 use crate::decay::DecayingSum;
@@ -16,8 +17,8 @@
 const NEWEST_WEIGHT: f64 = 0.2;
 /// Smoothed fraction of errors at which a server is ejected.
 const MAX_ERROR_RATE: f64 = 0.4;
-/// Number of consecutive timeouts at which a server is ejected.
-const MAX_CONSECUTIVE_TIMEOUTS: u32 = 3;
+/// Number of consecutive attempts without a response at which a server is ejected.
+const MAX_ATTEMPTS_WITHOUT_RESPONSE: u32 = 3;
 /// Duration of the first ejection in milliseconds. Each further ejection is twice as long as the one before,
 /// until a good response resets the duration.
 const MIN_EJECTION_MS: Millis = 1000.0;
@@ -36,8 +37,9 @@
     latency: SmoothedLatency,
     /// Smoothed fraction of errors among good responses and errors.
     pub(super) error_rate: f64,
-    /// Number of timeouts since the last response.
-    consecutive_timeouts: u32,
+    /// Number of attempts without a response since the last response: attempts that timed out, and attempts
+    /// whose connection failed or was lost.
+    attempts_without_response: u32,
     /// End of the latest ejection.
     ejected_until: Millis,
     /// Duration of the latest ejection in milliseconds; reset to 0 by a good response after the ejection has
@@ -59,7 +61,7 @@
         Health {
             latency: SmoothedLatency::new(NEWEST_WEIGHT),
             error_rate: 0.0,
-            consecutive_timeouts: 0,
+            attempts_without_response: 0,
             ejected_until: f64::NEG_INFINITY,
             ejection_ms: 0.0,
             at_capacity_until: f64::NEG_INFINITY,
@@ -88,7 +90,7 @@
     /// responds again.
     pub(super) fn is_unavailable(&self, now: Millis, in_flight: u32) -> bool {
         let is_at_capacity = now < self.at_capacity_until;
-        let is_unresponsive = self.consecutive_timeouts >= MAX_CONSECUTIVE_TIMEOUTS;
+        let is_unresponsive = self.attempts_without_response >= MAX_ATTEMPTS_WITHOUT_RESPONSE;
         is_at_capacity || (is_unresponsive && in_flight > 0)
     }
 
@@ -115,7 +117,7 @@
             }
             Outcome::Cancelled if !timed_out => None,
             Outcome::Cancelled | Outcome::TimedOut | Outcome::ConnectionLost | Outcome::ConnectFailed => {
-                self.record_timeout(now)
+                self.record_no_response(now)
             }
             Outcome::NotSent => None,
         }
@@ -146,15 +148,15 @@
 
     /// Records a response of any kind.
     fn record_response(&mut self, now: Millis) {
-        self.consecutive_timeouts = 0;
+        self.attempts_without_response = 0;
         self.last_response_at = now;
         self.responses.add(now, 1.0);
     }
 
     /// Records that an attempt received no response. Returns the reason if the server is ejected for it.
-    pub(super) fn record_timeout(&mut self, now: Millis) -> Option<EjectionReason> {
-        self.consecutive_timeouts += 1;
-        if self.consecutive_timeouts < MAX_CONSECUTIVE_TIMEOUTS {
+    pub(super) fn record_no_response(&mut self, now: Millis) -> Option<EjectionReason> {
+        self.attempts_without_response += 1;
+        if self.attempts_without_response < MAX_ATTEMPTS_WITHOUT_RESPONSE {
             return None;
         }
         self.eject(now, EjectionReason::NoResponse)
--- a/limiter-core/src/endpoints/routing.rs
+++ b/limiter-core/src/endpoints/routing.rs
@@ -116,14 +116,14 @@
         let Some(record) = self.by_id.get_mut(server) else { return };
         self.num_examined += 1;
         let was_warming = record.slow_start.is_warming();
-        let may_send = record.may_send_new_attempt(context.now, self.warm_throughput, &context.settings);
+        let may_receive = record.may_receive_attempt(context.now, self.warm_throughput, &context.settings);
         let is_warming = record.slow_start.is_warming();
-        if may_send && satisfies_dedup_scope(request, record, &context.settings) {
+        if may_receive && satisfies_dedup_scope(request, record, &context.settings) {
             let candidate = record.evaluate(context, request, self.baseline_latency.value_ms());
             search.add(server, &candidate);
         }
         if was_warming && !is_warming {
-            self.slow_start_ended(server);
+            self.record_slow_start_end(server);
         }
     }
 }
@@ -131,19 +131,19 @@
 impl EndpointRecord {
     /// Returns whether a new attempt may be sent to this server: it is serving, neither at capacity nor
     /// unresponsive, and has budget left if it is in slow start. Refills the budget, or ends the slow start.
-    fn may_send_new_attempt(&mut self, now: Millis, warm_throughput: f64, settings: &Settings) -> bool {
+    fn may_receive_attempt(&mut self, now: Millis, warm_throughput: f64, settings: &Settings) -> bool {
         if !self.is_serving() || self.health.is_unavailable(now, self.in_flight) {
             return false;
         }
         self.slow_start.refill(now, warm_throughput, settings);
-        self.slow_start.has_budget()
+        self.slow_start.allows_request()
     }
 
     /// Returns this server as a candidate for a request. Draws a random number unless the server is a last
     /// resort.
     fn evaluate(&self, context: &mut Context, request: &PendingRequest, baseline_ms: Millis) -> Candidate {
-        let was_tried_last = request.last_server.as_ref() == Some(&self.endpoint.server);
-        let is_last_resort = self.health.is_ejected(context.now) || was_tried_last;
+        let is_last_server = request.last_server.as_ref() == Some(&self.endpoint.server);
+        let is_last_resort = self.health.is_ejected(context.now) || is_last_server;
         let factor =
             if is_last_resort { LAST_RESORT_FACTOR } else { 1.0 + JITTER_FRACTION * context.rng.f64() };
         let predicted_ms = self.predicted_latency_ms(context.now, baseline_ms, context.settings.zone);
--- a/limiter-core/src/endpoints/slow_start.rs
+++ b/limiter-core/src/endpoints/slow_start.rs
@@ -1,11 +1,12 @@
 //! Slow start: how many requests this limiter may send to one server that has just started.
 //!
-//! A server that has just started is cold: it has a fraction of its full capacity, which grows linearly until
-//! `slow_start_ms` after the start. A cold server fails if a load of `overload_factor` times its present
-//! capacity lasts for `overload_ms`. The load of all limiters together must stay below that, without messages
-//! between the limiters. Rendezvous hashing therefore selects a few limiters for each start of a server, the
-//! warming set. Each member has a budget, a token bucket from which it spends one token per request that it
-//! sends to the server. All other limiters send nothing to the server until the slow start ends.
+//! A server that has just started is cold: its capacity is a fraction of the full capacity, and grows
+//! linearly to the full capacity until `slow_start_ms` after the start. A cold server fails if a load of
+//! `overload_factor` times its present capacity lasts for `overload_ms`. The load of all limiters together
+//! must stay below that, without messages between the limiters. Rendezvous hashing therefore selects a few
+//! limiters for each start of a server, the warming set. Each member has a budget, a token bucket from which
+//! it spends one token per request that it sends to the server. All other limiters send nothing to the server
+//! until the slow start ends.
 
 use super::start_times::StartTimes;
 use crate::context::Context;
@@ -25,11 +26,11 @@
 /// sustainable load is computed from the guaranteed capacity, the overload factor and the throughput of warm
 /// servers. The rest is a margin for requests that arrive at the same time.
 const BUDGET_FRACTION: f64 = 0.75;
-/// Number of requests that all limiters together may send to a cold server within the time in which an
-/// overload makes the server fail. Applies even if the throughput measured at warm servers is lower or 0: the
-/// server tolerates 3 requests more than its capacity suggests. Without this minimum, the servers of a fleet
-/// that all start at once, or that start after a time without requests, would receive no request before the
-/// end of their slow starts.
+/// Number of requests that all limiters together may always send to a cold server per window: the time in
+/// which an overload makes the server fail (`overload_ms`, at least [`MIN_OVERLOAD_MS`]). Applies even if the
+/// throughput measured at warm servers is lower or 0: the server tolerates 3 requests more than its capacity
+/// suggests. Without this minimum, the servers of a fleet that all start at once, or that start after a time
+/// without requests, would receive no request before the end of their slow starts.
 const MIN_REQUESTS_PER_WINDOW: f64 = 1.0;
 /// Shortest overload in milliseconds that is assumed to make a cold server fail. Applies if the setting is
 /// lower or 0.
@@ -108,7 +109,7 @@
     }
 
     /// Returns whether slow start allows this limiter to send a request to the server.
-    pub(super) fn has_budget(&self) -> bool {
+    pub(super) fn allows_request(&self) -> bool {
         match &self.warming {
             Some(warming) => warming.budget.is_some_and(|budget| budget.level >= 1.0),
             None => true,
@@ -130,12 +131,12 @@
     }
 
     /// Begins a slow start for a server whose start is announced for the first time, unless the server
-    /// started so long ago that it is warm.
+    /// started so long ago that it is warm, or is announced with a start time of 0.
     ///
     /// All limiters are notified of the start at about the same time. The budgets of the members of the
     /// warming set therefore begin with a random fraction of a request, so that their first requests do not
-    /// arrive together. The budget of a limiter that may have started after the server begins empty:
-    /// otherwise, each restart of the limiter would add another fraction.
+    /// arrive together. If the limiter itself may have started later than the server, its budget is empty at
+    /// first: otherwise, each restart of the limiter would add another fraction.
     pub(super) fn begin_if_cold(
         &mut self,
         context: &mut Context,
@@ -155,8 +156,8 @@
         self.warming = Some(Warming { started_at: context.now - min_age_ms, budget });
     }
 
-    /// Ends the slow start if its duration has passed. Otherwise, adds to the budget the requests that may be
-    /// sent for the time since the last refill.
+    /// Ends the slow start if its duration has passed. Otherwise, refills the budget for the time since the
+    /// last refill.
     ///
     /// Refills must be frequent, not only when a request is sent: a limiter among hundreds sends requests so
     /// rarely that the measured throughput would have decayed by the next request.
--- a/limiter-core/src/endpoints/slow_start_index.rs
+++ b/limiter-core/src/endpoints/slow_start_index.rs
@@ -15,8 +15,9 @@
     warming: BTreeSet<ServerId>,
     /// Those of `warming` that are assigned to this limiter.
     assigned: BTreeSet<ServerId>,
-    /// Lower bound of the times at which the slow starts end that are in `warming` but not in `assigned`.
-    /// After the removal of a server, the bound may be lower than necessary, which costs one search.
+    /// Lower bound of the ends of the slow starts of those servers that are in `warming` but not in
+    /// `assigned`. After the removal of a server, the bound may be lower than necessary, which costs one
+    /// search.
     next_unassigned_end: Millis,
 }
 
--- a/limiter-core/src/endpoints/slow_start_upkeep.rs
+++ b/limiter-core/src/endpoints/slow_start_upkeep.rs
@@ -24,12 +24,12 @@
         self.num_examined += 1;
         record.slow_start.refill(now, self.warm_throughput, settings);
         if !record.slow_start.is_warming() {
-            self.slow_start_ended(server);
+            self.record_slow_start_end(server);
         }
     }
 
-    /// Updates the indexes after the slow start of a server has ended.
-    pub(super) fn slow_start_ended(&mut self, server: &ServerId) {
+    /// Records that the slow start of a server has ended: updates the indexes over the records.
+    pub(super) fn record_slow_start_end(&mut self, server: &ServerId) {
         let is_warm = self.by_id.get(server).is_some_and(EndpointRecord::is_warm_and_serving);
         self.update_num_warm(false, is_warm);
         self.slow_starts.remove(server);
--- a/limiter-core/src/endpoints/start_times.rs
+++ b/limiter-core/src/endpoints/start_times.rs
@@ -58,12 +58,12 @@
     }
 
     /// Records that discovery has answered: this limiter is notified of changes from now on.
-    pub(super) fn connected(&mut self) {
+    pub(super) fn record_connected(&mut self) {
         self.discovery = DiscoveryState::Connected;
     }
 
     /// Records that discovery has failed.
-    pub(super) fn disconnected(&mut self, now: Millis) {
+    pub(super) fn record_disconnected(&mut self, now: Millis) {
         if self.discovery == DiscoveryState::Connected {
             self.discovery = DiscoveryState::DisconnectedSince(now);
         }
--- a/limiter-core/src/endpoints/throughput.rs
+++ b/limiter-core/src/endpoints/throughput.rs
@@ -17,10 +17,10 @@
 impl Endpoints {
     /// Measures the good responses per second that this limiter receives from one warm server on average.
     ///
-    /// Only good responses of servers that are warm and serving are counted. Requests that were rejected, or
-    /// sent to other servers, do not show what a server can sustain: when few warm servers were left, the
-    /// number of such requests was many times what these servers sustained. Without any warm server, the last
-    /// measurement is kept, unless the estimate from the servers in slow start is higher.
+    /// Only good responses of servers that are warm and serving are counted, because only these show what a
+    /// server can sustain. When few servers are warm, the requests that are rejected or sent to other servers
+    /// can be many times as numerous as those that the warm servers sustain. Without any warm server, the
+    /// last measurement is kept, unless the estimate from the servers in slow start is higher.
     pub(super) fn measure_warm_throughput(&mut self, context: &Context) {
         let now = context.now;
         if self.num_warm() == 0 {
@@ -51,8 +51,8 @@
     }
 
     /// Estimates the throughput of a warm server from the good responses of the servers in slow start: the
-    /// throughput that these have now, extrapolated to their full capacity. The budgets therefore grow by a
-    /// factor each time that the servers have sustained a load. A member of a warming set sends the parts of
+    /// throughput that these have now, extrapolated to their full capacity. Each time that the servers have
+    /// sustained a load, the budgets therefore grow by a factor. A member of a warming set sends the parts of
     /// several limiters, so the responses that the member receives are divided by the number of these
     /// limiters.
     fn warming_throughput(&mut self, now: Millis, settings: &Settings) -> f64 {
