--- a/limiter-core/src/admission/slot_limit.rs
+++ b/limiter-core/src/admission/slot_limit.rs
@@ -41,10 +41,10 @@
 
     /// Adjusts the limit in one step of the feedback.
     ///
-    /// A positive error lowers a limit above the slots that the servers sustain to these slots, in one step:
-    /// more attempts in flight would only wait at the servers. Any other error raises the limit if more than
-    /// [`MIN_USED_FRACTION`] of the limit is in use: by [`LIMIT_GROWTH`] or to the slots that the servers
-    /// sustain, whichever is higher, but at most to [`INITIAL_SLOT_LIMIT`].
+    /// If the error is positive and the limit exceeds the slots that the servers sustain, the limit is
+    /// lowered to these slots in one step: more attempts in flight would only wait at the servers. Any other
+    /// error raises the limit if more than [`MIN_USED_FRACTION`] of the limit is in use: by [`LIMIT_GROWTH`]
+    /// or to the slots that the servers sustain, whichever is higher, but at most to [`INITIAL_SLOT_LIMIT`].
     pub fn adjust(&mut self, error: f64, sustainable_slots: f64, slots_in_use: f64) {
         if error > 0.0 {
             self.slots = self.slots.min(sustainable_slots);
--- a/limiter-core/src/request/timeouts.rs
+++ b/limiter-core/src/request/timeouts.rs
@@ -35,7 +35,9 @@
     }
 
     /// Starts the timer of the deadline and, if the latency objective passes before the deadline, the timer
-    /// of the latency objective. Both times count from the arrival of the request. Returns the deadline.
+    /// of the latency objective. The timeout of the client and the latency objective are measured from the
+    /// arrival of the request. The deadline precedes the end of the timeout, or of a shutdown if that is
+    /// earlier, by [`Limiter::deadline_margin_ms`]. Returns the deadline.
     pub(super) fn start_request_timers(&self, request: &Request, out: &mut Vec<Action>) -> Millis {
         let now = self.context.now;
         let timeout_ms = (request.timeout_ms - request.waited_ms).min(self.shutdown_deadline - now);
@@ -92,10 +94,10 @@
     /// against servers that never respond, for instance because they hang or because their network is
     /// partitioned.
     ///
-    /// The attempt is cancelled if the request may be attempted at another server. Otherwise, the attempt
-    /// stays in flight, and only the timeout of its server is recorded. A server whose only request from this
-    /// limiter is a costly one cannot be distinguished from a server that hangs. Cancelling this attempt
-    /// wastes the work of the server; the retry budget bounds the waste.
+    /// The slots of the attempt are released. The attempt is cancelled if the request may be attempted at
+    /// another server. Otherwise, the attempt stays in flight, and the timeout of its server is recorded. A
+    /// server whose only request from this limiter is a costly one cannot be distinguished from a server that
+    /// hangs. Cancelling such an attempt wastes the work of the server; the retry budget bounds the waste.
     fn check_silence(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(key) = self.attempt_to_check(id) else { return };
         let Some(remaining_ms) = self.silence_timeout_in_ms(key) else { return };
--- a/limiter-core/src/rules/client_connections.rs
+++ b/limiter-core/src/rules/client_connections.rs
@@ -18,8 +18,8 @@
 /// evicted so that another connection can be accepted.
 const IDLE_EVICTION_DELAY_MS: Millis = 50.0;
 /// Time in milliseconds for which a connection with an incomplete request must have been idle, since its
-/// accept or its last response, before it may be evicted. Until then, clients that wait in the accept queue
-/// are not served.
+/// accept or its last response, before it may be evicted. In the meantime, clients in the accept queue may
+/// have to wait.
 const INCOMPLETE_EVICTION_DELAY_MS: Millis = 100.0;
 
 /// The facts about a client connection that decide whether it may be closed.
@@ -59,7 +59,8 @@
     }
 
     /// Returns whether the connection has to be closed: its request did not arrive in time, its response is
-    /// not being read, or the connection has been idle for too long.
+    /// not being read, or the connection has been idle for too long. A connection that may not be closed is
+    /// never overdue.
     #[must_use]
     pub fn is_overdue(&self) -> bool {
         let max_idle_ms = if self.is_shutting_down { SHUTDOWN_IDLE_TIMEOUT_MS } else { IDLE_TIMEOUT_MS };
@@ -80,8 +81,9 @@
         self.may_close() && self.idle_ms > min_idle_ms
     }
 
-    /// Returns whether a request is probably in transit: the connection was accepted a moment ago, or the
-    /// next request has begun to arrive right after a response.
+    /// Returns whether a request is probably in transit: the connection was accepted less than
+    /// `INCOMPLETE_EVICTION_DELAY_MS` ago, or was last answered less than that ago and the next request has
+    /// begun to arrive.
     #[must_use]
     pub fn expects_request_soon(&self) -> bool {
         let is_incomplete = self.incomplete_for_ms.is_some();
