--- a/limiter/src/frontend/acceptor.rs
+++ b/limiter/src/frontend/acceptor.rs
@@ -22,7 +22,7 @@
 /// arriving, the queue is never observed to be empty, and how long the newest connection waited is unknown.
 const MAX_QUEUE_WAIT: Duration = Duration::from_secs(1);
 
-/// Accepts connections until the listener is closed, and starts a task that serves each of them.
+/// Accepts connections until the listener is closed, and serves each of them in a separate task.
 pub(super) struct Acceptor {
     engine: Rc<Engine>,
     connections: Rc<Connections>,
--- a/limiter/src/frontend/close_signals.rs
+++ b/limiter/src/frontend/close_signals.rs
@@ -15,7 +15,7 @@
 }
 
 impl CloseSignals {
-    /// Creates signals without any pending request.
+    /// Creates signals none of which has been sent.
     pub(super) fn new() -> CloseSignals {
         CloseSignals { is_shutting_down: Cell::new(false), shutdown: Notify::new(), abort: Notify::new() }
     }
@@ -26,15 +26,15 @@
         self.shutdown.notify_one();
     }
 
-    /// Repeats the request for a graceful shutdown, if there was one, because a response has been written.
+    /// Repeats the signal for a graceful shutdown, if there was one, because a response has been written.
     pub(super) fn repeat_shutdown_request(&self) {
         if self.is_shutting_down.get() {
             self.shutdown.notify_one();
         }
     }
 
-    /// Completes when a graceful shutdown is requested. Awaited by the connection's task. A request that is
-    /// made while the task does not wait is stored, and cancelling loses no request.
+    /// Completes when a graceful shutdown is requested. Awaited by the connection's task. A signal that is
+    /// sent while the task does not wait is stored, and cancelling loses no signal.
     pub(super) fn shutdown_requested(&self) -> Notified<'_> {
         self.shutdown.notified()
     }
--- a/limiter/src/frontend/connection.rs
+++ b/limiter/src/frontend/connection.rs
@@ -81,8 +81,8 @@
     ///
     /// The order of the branches matters. hyper is polled first, so that bytes which have arrived are read
     /// before another branch closes the connection. The other branches are cancelled whenever one of them
-    /// completes. This loses no bytes and no request for a shutdown. An abort that is lost is requested
-    /// again, as `CloseSignals::abort_requested` explains.
+    /// completes. This loses no bytes and no shutdown signal. An abort that is lost is requested again, as
+    /// `CloseSignals::abort_requested` explains.
     async fn drive(
         &self,
         http: HttpConnection<impl RequestService>,
--- a/limiter/src/frontend/connection_state.rs
+++ b/limiter/src/frontend/connection_state.rs
@@ -26,21 +26,22 @@
     /// Whether the body of the open request is still awaited.
     is_receiving_body: Cell<bool>,
     /// Whether the client is watched for a disconnect, because the open request awaits its response. In the
-    /// meantime, hyper does not read the stream and would not see the end of the stream.
+    /// meantime, hyper is given no bytes and does not see the end of the stream.
     is_watching_for_disconnect: Cell<bool>,
     /// Whether the client sent more after an open request than may be buffered. The excess was dropped.
     has_read_ahead_overflowed: Cell<bool>,
     /// Whether any bytes of the client have been read.
     has_received_bytes: Cell<bool>,
-    /// When the bytes that hyper read last arrived. hyper is given nothing beyond the end of a request before
-    /// the response is ready. When a request has just become complete, these bytes are therefore its last
-    /// ones.
+    /// The arrival of the bytes that were given to hyper most recently. hyper is given nothing beyond the end
+    /// of a request before the response is ready. When a request has just become complete, these bytes are
+    /// therefore its last ones.
     last_arrival: Cell<Arrival>,
     /// The latest time at which the connection was accepted, a response became ready, or a response was
     /// written.
     last_active: Cell<Instant>,
-    /// When the first byte of the request arrived whose head hyper has not parsed yet. The first request of a
-    /// connection is treated as arriving from the accept on.
+    /// When the first byte of the arriving request was read. `None` if no request is arriving, and after
+    /// hyper has parsed the head. The first request of a connection is treated as arriving from the accept
+    /// on.
     incomplete_since: Cell<Option<Instant>>,
     /// Whether the response that is ready is the last one of the connection. Nothing more is read.
     has_last_response: Cell<bool>,
@@ -142,7 +143,7 @@
         self.is_receiving_body.set(true);
     }
 
-    /// Returns when the open request began to arrive. Bytes that arrive from now on belong to the next
+    /// Returns when the open request began to arrive. Bytes that are read from now on belong to the next
     /// request, except for those of the body.
     pub(super) fn take_request_start(&self) -> Instant {
         self.incomplete_since.take().unwrap_or_else(Instant::now)
@@ -218,7 +219,7 @@
     }
 }
 
-/// Guard during whose lifetime the client is watched for a disconnect. Dropping the guard ends the watch.
+/// A guard that keeps the client watched for a disconnect. Dropping the guard ends the watch.
 pub(super) struct DisconnectWatch<'s> {
     state: &'s ConnectionState,
 }
--- a/limiter/src/frontend/connections.rs
+++ b/limiter/src/frontend/connections.rs
@@ -111,13 +111,13 @@
     ///   `Conn::disable_keep_alive`) closes it for reading and writing within the call of
     ///   `graceful_shutdown`, even if the kernel has received bytes for the connection. These bytes are not
     ///   read, so that no request in them is forwarded, and the client sends the request again.
-    /// - If nothing has been read of a new connection, hyper closes it in the same way.
+    /// - If nothing has been read from a new connection, hyper closes it in the same way.
     /// - On any other connection, a request is open, read ahead, or partially read. All requests that were
     ///   read are answered completely, the last one with `Connection: close`, and nothing after it is read.
     ///   If a response was already being written, the connection is examined again when the response has
     ///   been written.
     ///
-    /// In all cases, no request is read whose response could not be written.
+    /// In all cases, the limiter reads only requests to which it can still write the response.
     ///
     /// A connection on which a request is probably in transit, such as one that has just been accepted, is
     /// not asked to shut down. It ends with the response to that request.
--- a/limiter/src/frontend/read_ahead/client_socket.rs
+++ b/limiter/src/frontend/read_ahead/client_socket.rs
@@ -1,4 +1,4 @@
-//! The view of a client's socket that the engine and the request handler have.
+//! The engine's and the request handler's view of a client's socket.
 
 use std::cell::RefCell;
 use std::rc::Rc;
--- a/limiter/src/frontend/read_ahead/mod.rs
+++ b/limiter/src/frontend/read_ahead/mod.rs
@@ -1,7 +1,7 @@
 //! Reads a client's socket ahead of hyper.
 //!
 //! hyper is given one request at a time, so that the limiter knows whether more bytes follow an open request.
-//! While a response is awaited, hyper does not read and would not see that the client disconnects.
+//! While a response is awaited, hyper is given no bytes and does not see that the client disconnects.
 //! [`ReadAhead`] then reads the socket instead: it detects the disconnect, and buffers what the client
 //! pipelines after the open request.
 //!
@@ -41,8 +41,8 @@
 /// Largest number of bytes in one read of a check for a disconnect. The buffer is on the stack, so that an
 /// idle connection needs no memory for it.
 const READ_CHUNK_BYTES: usize = 4096;
-/// Largest number of reads in one check for a disconnect. A client that has sent more than these reads return
-/// is connected.
+/// Largest number of reads in one check for a disconnect. If all of them return bytes, the client is treated
+/// as connected.
 const MAX_READS_PER_CHECK: usize = 8;
 
 /// A client's socket, and the bytes that were read from it ahead of hyper.
--- a/limiter/src/frontend/request/handler.rs
+++ b/limiter/src/frontend/request/handler.rs
@@ -118,10 +118,10 @@
         let reason = InvalidRequestReason::from_status(status);
         tracing::debug!(status = status.as_u16(), %reason, %error, "invalid request rejected");
         Metrics::count(&engine.metrics().invalid_requests, reason);
-        response::reject(status, error.to_string())
+        response::invalid_request(status, error.to_string())
     }
 
-    /// Receives and validates a request whose first byte arrived at `started_at`, and submits it.
+    /// Receives and validates a request that began to arrive at `started_at`, and submits it.
     ///
     /// # Errors
     /// [`RequestError`] if the request is invalid, does not arrive in time, or has the correlation id of a
--- a/limiter/src/frontend/request/head.rs
+++ b/limiter/src/frontend/request/head.rs
@@ -151,7 +151,7 @@
     Ok(())
 }
 
-/// Returns whether requests of a class are idempotent, or idempotent with a key only.
+/// Returns whether requests of a class are idempotent, idempotent only with a key, or not idempotent.
 fn class_idempotency(config: &Config, class: usize) -> Idempotency {
     config.settings.classes.get(class).map_or(Idempotency::NonIdempotent, |class| class.idempotency)
 }
@@ -200,7 +200,7 @@
     Ok(key)
 }
 
-/// Returns the value of a header field without the white space around it, if it is text.
+/// Returns the value of a header field without the white space around it, if the value is ASCII text.
 fn trimmed_text<'h>(headers: &'h HeaderMap, name: &HeaderName) -> Option<&'h str> {
     headers.get(name).and_then(|value| value.to_str().ok()).map(str::trim)
 }
--- a/limiter/src/frontend/request/weight.rs
+++ b/limiter/src/frontend/request/weight.rs
@@ -2,7 +2,7 @@
 
 use crate::config::Config;
 
-/// The contents of the header field.
+/// The contents of `X-Weight`.
 pub struct Weight {
     /// Cost in quota units.
     pub cost_units: f64,
--- a/limiter/src/frontend/response.rs
+++ b/limiter/src/frontend/response.rs
@@ -16,9 +16,9 @@
     with_body(status, Bytes::new())
 }
 
-/// Returns the response to a request that is rejected before it is submitted. The body of the request may be
-/// unread, so the response ends the connection.
-pub(super) fn reject(status: StatusCode, reason: String) -> ClientResponse {
+/// Returns the response to an invalid request, which is not submitted. The body of the request may be unread,
+/// so the response ends the connection.
+pub(super) fn invalid_request(status: StatusCode, reason: String) -> ClientResponse {
     let mut response = with_body(status, Bytes::from(reason));
     close_connection(&mut response);
     response
@@ -38,7 +38,8 @@
     response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
 }
 
-/// Returns the response to a request that was rejected, with advice on when to retry if there is any.
+/// Returns the response to a submitted request that was rejected, with advice on when to retry if there is
+/// any.
 fn too_many_requests(retry_after_ms: Millis) -> ClientResponse {
     let mut response = empty(StatusCode::TOO_MANY_REQUESTS);
     if retry_after_ms > 0.0 {
--- a/limiter/src/frontend/shutdown.rs
+++ b/limiter/src/frontend/shutdown.rs
@@ -49,8 +49,8 @@
         Shutdown { signalled_at: Instant::now(), serve_for, next_step: NextStep::ShutDownConnections }
     }
 
-    /// Takes the steps that are due. Returns whether the server has to return. If the rules allow this, the
-    /// requests that have arrived are read, and the rules are applied again.
+    /// Takes the steps that are due. Returns whether the server has to return: if the rules allow the exit,
+    /// the requests that have arrived are read, and the rules are applied again.
     ///
     /// Awaited to the end by the accept loop, which accepts no connection during that time. Must not be
     /// cancelled: [`Acceptor::close`] would drop connections that wait to be accepted.
