--- a/limiter/src/engine/actions.rs
+++ b/limiter/src/engine/actions.rs
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Sends a request its final response, and counts the response. Records a violated invariant if the
+    /// Sends the final response to a request, and counts the response. Records a violated invariant if the
     /// request is not pending.
     pub(super) fn respond(&self, state: &mut State, id: RequestId, response: FinalResponse) {
         let outcome = response.outcome();
--- a/limiter/src/engine/endpoint_table.rs
+++ b/limiter/src/engine/endpoint_table.rs
@@ -22,13 +22,13 @@
 }
 
 impl InstalledEndpoint {
-    /// Returns whether the idle connections to this server must be closed because `new` replaces the server
-    /// on the list, or because the server is removed if `new` is `None`.
+    /// Returns whether the idle connections to this server must be closed once `new` has replaced this entry
+    /// on the list. `None` stands for the removal of the server.
     ///
     /// This is the case if the server no longer serves, has another address, or has restarted. Idle
     /// connections to a process that has been replaced must not be used, even if they look alive. A
     /// connection with an attempt in flight is checked when the attempt ends.
-    fn makes_connections_stale(&self, new: Option<&InstalledEndpoint>) -> bool {
+    fn has_stale_connections_after(&self, new: Option<&InstalledEndpoint>) -> bool {
         !new.is_some_and(|new| {
             new.is_serving && new.address == self.address && new.started_at == self.started_at
         })
@@ -107,7 +107,7 @@
             Some(new) => self.endpoints.insert(server.clone(), new),
             None => self.endpoints.remove(server),
         };
-        if old.is_some_and(|old| old.makes_connections_stale(new.as_ref())) {
+        if old.is_some_and(|old| old.has_stale_connections_after(new.as_ref())) {
             upstream.close_idle(server);
         }
         has_changed(old, new)
--- a/limiter/src/engine/endpoint_updates.rs
+++ b/limiter/src/engine/endpoint_updates.rs
@@ -26,7 +26,7 @@
     /// and withholds it if the lists are pushed.
     ///
     /// Where lists are pushed, the list of the discovery agent on this machine applies from the start of the
-    /// process. Until the agent answers, no request may be forwarded by an older list.
+    /// process. Until the agent answers, no request may be forwarded on the basis of an older list.
     pub(super) fn install_configured_list(self: &Rc<Self>) {
         let Some(list) = &self.config.known_endpoints else { return };
         let list = EndpointUpdate { complete: true, ..list.resolve(&self.config.names) };
--- a/limiter/src/engine/pending.rs
+++ b/limiter/src/engine/pending.rs
@@ -114,8 +114,8 @@
         self.take(id).is_some()
     }
 
-    /// Sends a request its final response, and removes the request. Returns whether the request was pending.
-    /// The response is lost if the client has disconnected.
+    /// Sends the final response to a request, and removes the request. Returns whether the request was
+    /// pending. The response is lost if the client has disconnected.
     pub fn respond(&mut self, id: RequestId, response: FinalResponse) -> bool {
         let Some(request) = self.take(id) else { return false };
         let _ = request.response.send(response);
--- a/limiter/src/engine/timer_queue.rs
+++ b/limiter/src/engine/timer_queue.rs
@@ -30,7 +30,8 @@
 
 /// Microseconds in a millisecond.
 const MICROS_PER_MILLI: f64 = 1000.0;
-/// Value of [`TimerQueue::wake_up_us`] while the waiting task sleeps without a time at which it wakes up.
+/// Value of [`TimerQueue::wake_up_us`] while the waiting task sleeps without a wake-up time, because no timer
+/// was queued.
 const NO_WAKE_UP: u64 = u64::MAX;
 
 /// A timer in the queue; ordered by time, then by kind.
--- a/limiter/src/engine/timers.rs
+++ b/limiter/src/engine/timers.rs
@@ -67,7 +67,8 @@
     }
 
     /// Fails a request that is still pending at its deadline. This is a safeguard: the core ends requests
-    /// before their deadlines. Nothing more is sent for the request afterwards.
+    /// before their deadlines. [`Event::ClientDisconnected`] removes the request from the core, so that the
+    /// core neither starts another attempt nor responds again.
     fn fail_at_deadline(&self, state: &mut State, id: RequestId) {
         if state.pending.respond(id, FinalResponse::Failed) {
             tracing::warn!(request = id, "request failed at deadline");
