--- a/limiter/src/upstream/response.rs
+++ b/limiter/src/upstream/response.rs
@@ -1,4 +1,4 @@
-//! What a server's response means for the core.
+//! Translates a server's response into the result of an attempt.
 
 use bytes::Bytes;
 use hyper::header::{HeaderMap, HeaderName};
@@ -7,11 +7,11 @@
 
 use crate::messages::attempt::AttemptResult;
 
-/// In an error response: whether the server did not process the request.
+/// Header of an error response that states whether the server left the request unprocessed.
 const UNPROCESSED: HeaderName = HeaderName::from_static("x-unprocessed");
 /// Value of [`UNPROCESSED`] if the request was not processed.
 const UNPROCESSED_TRUE: &str = "1";
-/// In the first successful response to a request: the quota units that the request really cost.
+/// Header of the first successful response to a request: the actual cost of the request in quota units.
 const ACTUAL_COST: HeaderName = HeaderName::from_static("x-true-cost");
 
 /// A response that was read to its end.
@@ -45,8 +45,8 @@
         self.headers.get(UNPROCESSED).is_some_and(|value| value == UNPROCESSED_TRUE)
     }
 
-    /// Returns the quota units that the request really cost, if the response states a cost that a request can
-    /// have.
+    /// Returns the actual cost of the request in quota units, if the response states a cost that a request
+    /// can have.
     fn actual_units(&self, max_request_units: f64) -> Option<f64> {
         let text = self.headers.get(ACTUAL_COST)?.to_str().ok()?;
         let units: f64 = text.trim().parse().ok()?;
