--- a/limiter/tests/attempts.rs
+++ b/limiter/tests/attempts.rs
@@ -61,7 +61,7 @@
     let started_at = Instant::now();
     let response = limiter.request(&request);
     let elapsed = started_at.elapsed();
-    assert_eq!(response.status, 502, "the request may have been executed");
+    assert_eq!(response.status, 502, "a request that may have been executed must fail");
     assert!(elapsed < Duration::from_millis(1500), "the response took {elapsed:?}");
     wait_for("the connections of all attempts to be closed", || {
         server.num_closed_connections() == server.num_connections()
--- a/limiter/tests/http_front_end.rs
+++ b/limiter/tests/http_front_end.rs
@@ -134,7 +134,7 @@
     assert_eq!(limiter.request(&same_id_of_other_customer).status, 409);
     assert_eq!(read_response(&mut first_client).status, 200);
     assert_eq!(servers[0].num_received(), 1);
-    assert_eq!(limiter.request(&idempotent_request()).status, 200, "the correlation id may be used again");
+    assert_eq!(limiter.request(&idempotent_request()).status, 200, "the correlation id must be usable again");
 }
 
 /// A client pipelines requests while its first request waits for a server. The limiter reads the pipelined
--- a/limiter/tests/malformed_responses.rs
+++ b/limiter/tests/malformed_responses.rs
@@ -16,8 +16,7 @@
 const INCOMPLETE_STATUS_LINE: &str = "HTTP/1.1 20";
 const INCOMPLETE_HEADER: &str = "HTTP/1.1 200 OK\r\nContent-Le";
 
-/// Asserts that these are all attempts of the request with the key `k`: one to three, as the settings allow,
-/// each of which carries the key.
+/// Asserts that there are one to three attempts, as the settings allow, each of which carries the key `k`.
 fn assert_attempts_carry_key(attempts: &[HttpMessage]) {
     assert!((1..=3).contains(&attempts.len()), "{} attempts", attempts.len());
     for attempt in attempts {
@@ -57,9 +56,10 @@
     Reset,
 }
 
-/// Starts a server that writes this text instead of a complete response and terminates the connection,
-/// immediately or after 40 ms. The server may have executed the request: a request with an idempotency key
-/// fails, and its retries carry the key. An idempotent request is rejected.
+/// Asserts that a request is not answered with an incomplete response: the server writes this text and
+/// terminates the connection, immediately or after 40 ms. The server may have executed the request: a request
+/// with an idempotency key must fail, and its retries must carry the key. An idempotent request must be
+/// rejected.
 fn assert_incomplete_response_is_not_served(text: &'static str, termination: Termination) {
     for pause_before_termination_ms in [0, 40] {
         let server = StubServer::new(move |_, stream| {
--- a/limiter/tests/pinned_heads.rs
+++ b/limiter/tests/pinned_heads.rs
@@ -431,7 +431,7 @@
     assert_eq!(
         server.received_requests().len(),
         num_received,
-        "no request is forwarded to a draining server"
+        "a request was forwarded to a draining server"
     );
 }
 
@@ -649,7 +649,7 @@
         .expect("readable standard error");
     let code = child.0.wait().expect("a child process").code();
     assert!(code.is_some_and(|code| code != 0), "{code:?}: {text}");
-    assert_eq!((text.lines().count(), text.ends_with('\n')), (1, true), "one line: {text}");
+    assert_eq!((text.lines().count(), text.ends_with('\n')), (1, true), "the error must be one line: {text}");
     text
 }
 
--- a/limiter/tests/quotas.rs
+++ b/limiter/tests/quotas.rs
@@ -54,7 +54,7 @@
     }
     assert!(server.received_requests().is_empty());
     for unit in 1..=4 {
-        assert_eq!(limiter.request(&valid).status, 200, "unit {unit} of the customer's 4");
+        assert_eq!(limiter.request(&valid).status, 200, "unit {unit} of the customer's 4 must be left");
     }
 }
 
@@ -122,7 +122,7 @@
         assert_eq!(
             limiter.request(&request).status,
             200,
-            "the even share admits the request while an owner is silent"
+            "the even share must admit the request while an owner is silent"
         );
     }
     let mut buffer = [0; 1024];
--- a/limiter/tests/shutdown.rs
+++ b/limiter/tests/shutdown.rs
@@ -13,7 +13,7 @@
 fn assert_closed_between_requests(client: &mut TcpStream) {
     let mut buffer = [0; 16];
     let length = retry_on_interrupt(|| client.read(&mut buffer)).expect("a graceful close");
-    assert_eq!(length, 0, "the connection is not closed between two requests");
+    assert_eq!(length, 0, "the connection was not closed between two requests");
 }
 
 /// Guards against a SIGTERM that drops a pending request, or that closes connections immediately.
@@ -113,7 +113,7 @@
     limiter.wait_until_logged("shutdown started");
     clients.push(limiter.send(&request(9)));
     for client in &mut clients {
-        assert_eq!(read_response(client).status, 502, "the request may have been executed");
+        assert_eq!(read_response(client).status, 502, "a request that may have been executed must fail");
     }
     assert_eq!(limiter.wait_for_exit_code(), Some(0));
 }
--- a/limiter/tests/shutdown_races.rs
+++ b/limiter/tests/shutdown_races.rs
@@ -9,8 +9,8 @@
 
 use stubs::*;
 
-/// How long the process stalls, in milliseconds. This is longer than the 0.6 s for which requests are
-/// accepted after SIGTERM, and than all following steps of the shutdown if no more requests arrive.
+/// How long the process stalls, in milliseconds. If no more requests arrive, all steps of the shutdown are
+/// due within this time, including the end of the 0.6 s for which requests are accepted after SIGTERM.
 const STALL_MS: u64 = 1100;
 
 /// A server, and the limiter in front of it.
@@ -19,9 +19,9 @@
     limiter: LimiterProcess,
 }
 
-/// Starts a server and a limiter that accepts requests after SIGTERM for the shortest possible time. The
-/// latency objective is 10 minutes, because with the default of 1 s requests would be rejected on a machine
-/// that stalls for a second.
+/// Starts a server and a limiter. The latency objective is 10 minutes, because with the default of 1 s
+/// requests would be rejected on a machine that stalls for a second. With such a long objective, the limiter
+/// accepts requests after SIGTERM for the shortest possible time, which is 0.6 s.
 fn start_server_and_limiter() -> ServerAndLimiter {
     let server = StubServer::responding_with("fine");
     let limiter = LimiterProcess::with_server(&server, Configuration::with_long_latency_objective);
@@ -108,8 +108,8 @@
             Some(limiter.send(&request_with_long_timeout("new")))
         });
         let Some(mut new_client) = new_client else { continue };
-        assert!(is_served(&mut new_client), "the connection that waited to be accepted");
-        assert!(is_served(&mut silent_client), "the connection without an earlier request");
+        assert!(is_served(&mut new_client), "the connection that waited to be accepted must be served");
+        assert!(is_served(&mut silent_client), "the connection without an earlier request must be served");
         let num_idle_served = usize::from(is_served(&mut idle_client));
         assert_eq!(num_idle_served, server.num_received_with_id("idle"));
         assert_eq!(server.num_received_with_id("new"), 1);
@@ -163,7 +163,7 @@
         ids.iter().map(|id| idle_connection(&limiter, &format!("before-{id}"))).collect();
     limiter.signal("TERM");
     for client in &mut idle_clients {
-        assert_eq!(response_head(client), None, "the connection is not closed between two requests");
+        assert_eq!(response_head(client), None, "the connection was not closed between two requests");
     }
     let mut resending_clients = Vec::new();
     stall(&limiter, || {
--- a/limiter/tests/stubs/discovery.rs
+++ b/limiter/tests/stubs/discovery.rs
@@ -153,7 +153,7 @@
     }
 
     /// Waits until a watch has been opened, and sends a text on the newest one. If the text does not end with
-    /// a line end, no heartbeats are sent until another text does.
+    /// a line end, heartbeats are stopped until the test sends a text that does.
     ///
     /// # Panics
     ///
--- a/limiter/tests/stubs/quota_owner.rs
+++ b/limiter/tests/stubs/quota_owner.rs
@@ -131,7 +131,7 @@
     /// Panics if no message arrives, or if the first line of the message is not a quota request.
     pub fn receive_quota_request(&self) -> GossipMessage {
         let message = self.receive().expect("a message");
-        assert_eq!(message.first_kind(), KIND_QUOTA_REQUEST, "the message is a quota request");
+        assert_eq!(message.first_kind(), KIND_QUOTA_REQUEST, "the message must be a quota request");
         message
     }
 
