--- a/limiter-core/src/endpoints/slow_start.rs
+++ b/limiter-core/src/endpoints/slow_start.rs
@@ -7,6 +7,12 @@
 //! limiters for each start of a server, the warming set. Each member has a budget, a token bucket from which
 //! it spends one token per request that it sends to the server. All other limiters send nothing to the server
 //! until the slow start ends.
+//!
+//! The bound for all limiters together: let N be the number of requests in `overload_ms` that would overload
+//! the server according to the settings (overload factor x present capacity x that time). The server is not
+//! overloaded by up to N + 2 x sqrt(N) + 2 requests in that time or, for N below 30, by up to
+//! N + 3 x sqrt(N) + 3. The square root allows for requests that arrive at random. The bound comes from the
+//! requirements of the limiter (`docs/guarantees.md`, row "The load of all limiters on a cold server").
 
 use super::start_times::StartTimes;
 use crate::context::Context;
@@ -28,8 +34,9 @@
 const BUDGET_FRACTION: f64 = 0.75;
 /// Number of requests that all limiters together may always send to a cold server per window: the time in
 /// which an overload makes the server fail (`overload_ms`, at least [`MIN_OVERLOAD_MS`]). Applies even if the
-/// throughput measured at warm servers is lower or 0: the server tolerates 3 requests more than its capacity
-/// suggests. Without this minimum, the servers of a fleet that all start at once, or that start after a time
+/// throughput measured at warm servers is lower or 0. The minimum is less than 3, the constant part of the
+/// bound N + 3 x sqrt(N) + 3 for small N (see the module): even a server with next to no capacity tolerates 3
+/// requests. Without this minimum, the servers of a fleet that all start at once, or that start after a time
 /// without requests, would receive no request before the end of their slow starts.
 const MIN_REQUESTS_PER_WINDOW: f64 = 1.0;
 /// Shortest overload in milliseconds that is assumed to make a cold server fail. Applies if the setting is
--- a/limiter-core/tests/slow_start.rs
+++ b/limiter-core/tests/slow_start.rs
@@ -39,9 +39,10 @@
 }
 
 /// Returns the window in which the attempts at a cold server exceeded its budget the most. The budget of N
-/// attempts follows from the capacity of the server at the beginning of the window; 2 x sqrt(N) + 2 more
-/// attempts are attributed to chance. N is at most 30 here. For N below 30, the soak allows 3 x sqrt(N) + 3
-/// more attempts (`slow_start_budget` in `soak/src/deployment.rs`), so this test is stricter.
+/// attempts follows from the capacity of the server at the beginning of the window. A server is not
+/// overloaded by up to N + 2 x sqrt(N) + 2 attempts or, for N below 30, by up to N + 3 x sqrt(N) + 3; the
+/// square root allows for attempts that arrive at random. N is at most 30 here, and this function uses the
+/// smaller allowance, 2 x sqrt(N) + 2, for all N, which is stricter below 30.
 fn worst_overload_window(fleet: &TestFleet, started: Millis) -> OverloadWindow {
     let settings = settings_with_low_cold_capacity(1, 0);
     let mut worst = OverloadWindow { num_attempts: 0, excess: f64::NEG_INFINITY };
@@ -329,9 +330,9 @@
         limiter.respond(id, 10.0);
         forwarded += forwarded_to(&limiter.advance(50.0)).len();
     }
-    // With these settings, a load of N requests in 2 s overloads a cold server. For N below 30, the soak
-    // tolerates N + 3 x sqrt(N) + 3 requests (`slow_start_budget` in `soak/src/deployment.rs`), so at least
-    // three regardless of the server's capacity.
+    // Let N be the number of requests in 2 s that would overload a cold server according to these settings.
+    // For N below 30, the server is not overloaded by up to N + 3 x sqrt(N) + 3 requests: it tolerates at
+    // least 3 in 2 s, regardless of its capacity.
     assert!(forwarded >= 5, "{forwarded} of 100 requests were forwarded in 5 s to three cold servers");
 }
 
--- a/soak/src/deployment.rs
+++ b/soak/src/deployment.rs
@@ -158,8 +158,12 @@
     }
 
     /// Returns how many requests a server of the given age may receive within `overload_time` without a
-    /// violation: the number that overloads the server according to the settings, plus an allowance for
-    /// random arrivals.
+    /// violation.
+    ///
+    /// Let N be the number of requests in `overload_time` that would overload the server according to the
+    /// settings. The budget is N + 2 x sqrt(N) + 2 requests or, for N below 30, N + 3 x sqrt(N) + 3. The
+    /// square root allows for requests that arrive at random. Both cases come from the requirements of the
+    /// limiter (`docs/guarantees.md`, row "The load of all limiters on a cold server").
     pub fn slow_start_budget(&self, age: Duration) -> f64 {
         let capacity_per_s = self.capacity_per_s * self.capacity_fraction(age);
         let overload_requests = self.overload_factor * capacity_per_s * self.overload_time.as_secs_f64();
--- a/soak/src/invariants/slow_start.rs
+++ b/soak/src/invariants/slow_start.rs
@@ -1,4 +1,10 @@
 //! Checks that all limiters together do not overload a server during its slow start.
+//!
+//! A violation is a window of `overload_time` in which the server receives more requests than
+//! [`Deployment::slow_start_budget`] returns, more than two thirds of them from limiters that had been
+//! notified of the start of the server. The other limiters could not know of the start.
+//!
+//! [`Deployment::slow_start_budget`]: crate::deployment::Deployment::slow_start_budget
 
 use std::collections::{HashMap, HashSet};
 use std::time::{Duration, Instant};
@@ -83,7 +89,8 @@
     }
 
     /// Returns whether more than two thirds of the requests in a window came from limiters that are
-    /// considered notified of the server's start.
+    /// considered notified of the server's start. Otherwise, the window does not count as a violation,
+    /// because the other limiters could not know of the start.
     fn is_mostly_from_notified_limiters(&self, window: &OverloadWindow, started_at: Instant) -> bool {
         let mut num_requests = 0;
         let mut num_by_notified = 0;
