--- a/limiter-core/src/endpoints/slow_start.rs
+++ b/limiter-core/src/endpoints/slow_start.rs
@@ -2,14 +2,14 @@
 //!
 //! A server that has just started is cold: its capacity is a fraction of the full capacity, and grows
 //! linearly to the full capacity until `slow_start_ms` after the start. A cold server fails if a load of
-//! `overload_factor` times its present capacity lasts for `overload_ms`. The load of all limiters together
+//! `overload_factor` times its current capacity lasts for `overload_ms`. The load of all limiters together
 //! must stay below that, without messages between the limiters. Rendezvous hashing therefore selects a few
 //! limiters for each start of a server, the warming set. Each member has a budget, a token bucket from which
 //! it spends one token per request that it sends to the server. All other limiters send nothing to the server
 //! until the slow start ends.
 //!
 //! The bound for all limiters together: let N be the number of requests in `overload_ms` that would overload
-//! the server according to the settings (overload factor x present capacity x that time). The server is not
+//! the server according to the settings (overload factor x current capacity x that time). The server is not
 //! overloaded by up to N + 2 x sqrt(N) + 2 requests in that time or, for N below 30, by up to
 //! N + 3 x sqrt(N) + 3. The square root allows for requests that arrive at random. The bound comes from the
 //! requirements of the limiter (`docs/guarantees.md`, row "The load of all limiters on a cold server").
--- a/limiter-core/src/quota/member/grant_replies.rs
+++ b/limiter-core/src/quota/member/grant_replies.rs
@@ -42,7 +42,7 @@
         let now = self.context.now;
         let Some(pending) = self.requests.get(id) else { return };
         let Some(AwaitedReply { owner, requested_at }) = pending.awaited_reply else { return };
-        // Until the reply deadline, a quota request that is still in the local gossip queue does not count as
+        // Until the reply deadline, a quota request that is still in the local gossip queue is not treated as
         // a missed reply.
         let is_unsent =
             self.is_before_reply_deadline(pending) && self.gossip.has_unsent_quota_request(owner, id);
--- a/limiter-core/src/quota/mod.rs
+++ b/limiter-core/src/quota/mod.rs
@@ -43,8 +43,9 @@
 //! - A grant is valid for [`GRANT_VALIDITY_MS`], and its units are outstanding for that time. The member may
 //!   still spend the units at the end of that time, so outstanding units lower the capacity to which the
 //!   owner's ceiling bucket refills.
-//! - A restarted owner does not know its earlier grants. Its ceiling bucket starts as if all units had been
-//!   spent, and refills only once all earlier grants must have expired.
+//! - A restarted owner does not know its earlier grants. It assumes that all units have been spent: its
+//!   ceiling bucket starts overdrawn by the slack, and refills only once all earlier grants must have
+//!   expired.
 //! - A member spends from its even share only if the member is also an owner, and its fraction of the ceiling
 //!   covers the units.
 //! - No request under a ceiling is admitted while no owner can be asked.
--- a/limiter-core/src/quota/owner/grants.rs
+++ b/limiter-core/src/quota/owner/grants.rs
@@ -28,9 +28,9 @@
 pub(super) struct Grant {
     /// Units granted.
     pub units: f64,
-    /// Whether the units count as outstanding under the ceiling.
+    /// Whether the units are included in [`OwnerQuota::outstanding_units`].
     is_outstanding: bool,
-    /// Whether the request counts as in flight.
+    /// Whether the request is included in [`OwnerQuota::in_flight`].
     is_in_flight: bool,
     /// Whether the settlement has arrived.
     pub is_settled: bool,
--- a/limiter-core/src/settings/mod.rs
+++ b/limiter-core/src/settings/mod.rs
@@ -35,7 +35,7 @@
     pub can_gossip: bool,
     /// Whether attempts in flight may be cancelled.
     pub can_cancel: bool,
-    /// Whether a rejection may tell the client when to retry.
+    /// Whether a rejection may contain the time after which the client should retry.
     pub can_send_retry_after: bool,
     /// Number of gossip messages per second that one limiter accepts.
     pub gossip_messages_per_s: f64,
--- a/limiter-core/src/settings/request_class.rs
+++ b/limiter-core/src/settings/request_class.rs
@@ -36,7 +36,7 @@
     pub idempotency: Idempotency,
     /// The servers that drop duplicates together. Applies to [`Idempotency::WithKey`] only.
     pub dedup_scope: DedupScope,
-    /// Time in milliseconds for which servers drop duplicates, counted from the first attempt that may have
+    /// Time in milliseconds for which servers drop duplicates, measured from the first attempt that may have
     /// been executed. Applies to [`Idempotency::WithKey`] only.
     pub dedup_window_ms: Millis,
 }
--- a/limiter-core/tests/common/test_fleet.rs
+++ b/limiter-core/tests/common/test_fleet.rs
@@ -16,9 +16,9 @@
 
 /// Time after which a server responds.
 const SERVICE_TIME_MS: Millis = 100.0;
-/// Time after which a full server rejects a request.
+/// Time after which a server at capacity rejects a request.
 const REJECTION_TIME_MS: Millis = 5.0;
-/// Window over which a server counts accepted requests to decide whether it is full.
+/// Window over which a server counts accepted requests to decide whether it is at capacity.
 const CAPACITY_WINDOW_MS: Millis = 1000.0;
 
 /// Step by which the clock of the fleet advances.
@@ -29,7 +29,7 @@
     pub forwarded_at: Millis,
     pub id: RequestId,
     pub server: ServerId,
-    /// Whether the server was full and rejected the attempt.
+    /// Whether the server was at capacity and rejected the attempt.
     pub rejected: bool,
 }
 
--- a/limiter-core/tests/slow_start.rs
+++ b/limiter-core/tests/slow_start.rs
@@ -163,7 +163,7 @@
 struct AttemptCounter {
     num_attempts: u32,
     num_at_warm: u32,
-    /// Times of the attempts at the started server within the present window.
+    /// Times of the attempts at the started server within the current window.
     recent_at_cold: VecDeque<Millis>,
     /// Largest number of attempts at the started server in any window so far.
     worst_at_cold: u32,
@@ -180,7 +180,7 @@
         }
     }
 
-    /// Moves the window to the present.
+    /// Advances the window to the current time, and updates the largest number of attempts in a window.
     fn advance(&mut self, now: Millis) {
         while self.recent_at_cold.front().is_some_and(|at| now - at > ATTEMPT_WINDOW_MS) {
             self.recent_at_cold.pop_front();
--- a/limiter-core/tests/tombstones.rs
+++ b/limiter-core/tests/tombstones.rs
@@ -16,7 +16,7 @@
 const MANY_SERVERS: u32 = 200;
 /// Position of the limiter that is restarted while discovery does not answer.
 const RESTARTED: usize = 5;
-/// Time after which a limiter that gets no answer from discovery accepts clients, counted from the
+/// Time after which a limiter that gets no answer from discovery accepts clients, measured from the
 /// installation of its configured endpoint list.
 const TIME_TO_READINESS_MS: Millis = 250.0;
 
--- a/limiter/src/discovery/source.rs
+++ b/limiter/src/discovery/source.rs
@@ -34,7 +34,7 @@
         }
     }
 
-    /// Changes the address to watch. Returns whether the new address differs from the present one.
+    /// Changes the address to watch. Returns whether the new address differs from the current one.
     pub fn change_to(&self, address: SocketAddr) -> bool {
         let is_different = self.address.replace(address) != address;
         if is_different {
--- a/limiter/src/discovery/watch.rs
+++ b/limiter/src/discovery/watch.rs
@@ -37,7 +37,7 @@
     policy: WatchPolicy,
     requests: InFlightRequests,
     backoff: Backoff,
-    /// Whether the core has been notified that the present watch is connected.
+    /// Whether the core has been notified that the current watch is connected.
     has_reported_connection: bool,
     /// Why the last watch ended. Used to log a repeated error only once.
     last_error: Option<String>,
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Watches the source until there is a newer one and the present watch has ended. A watch that ends,
+    /// Watches the source until there is a newer one and the current watch has ended. A watch that ends,
     /// fails or falls silent is reopened from the last version. If a list could not be read, and the watch
     /// had read no list of another version before, the next watch begins with the complete list. The
     /// connection of a watch is closed before the wait for the next one.
--- a/limiter/src/engine/clock.rs
+++ b/limiter/src/engine/clock.rs
@@ -12,7 +12,7 @@
 /// 35 years; a 64-bit float represents such a time to an eighth of a microsecond.
 const ORIGIN_BITS: u32 = 40;
 
-/// Time in milliseconds of the monotonic clock, counted from a random origin.
+/// Time in milliseconds of the monotonic clock, measured from a random origin.
 ///
 /// The wall clock is not used, because it may be stepped. In gossip, the low 32 bits of the origin
 /// distinguish one incarnation of the limiter from another: two incarnations have the same bits with a
--- a/limiter/src/frontend/read_ahead/mod.rs
+++ b/limiter/src/frontend/read_ahead/mod.rs
@@ -10,7 +10,7 @@
 //! | module | job |
 //! | --- | --- |
 //! | [`stream`] | the stream that hyper serves: one request at a time, buffered bytes first |
-//! | [`client_socket`] | tells the engine whether the client is still connected |
+//! | [`client_socket`] | reports to the engine whether the client is still connected |
 //! | `mod.rs` | [`ReadAhead`], the socket and the buffered bytes, which both of them share |
 //! | [`buffer`] | the buffered bytes and the times of their arrival |
 //! | [`memory`] | the bound on the buffered bytes of all connections together |
--- a/limiter/src/frontend/request/handler.rs
+++ b/limiter/src/frontend/request/handler.rs
@@ -19,7 +19,7 @@
 use crate::observability::labels::InvalidRequestReason;
 use crate::observability::metrics::Metrics;
 
-/// Time within which a request has to arrive completely, counted from its first byte, or from the accept for
+/// Time within which a request has to arrive completely, measured from its first byte, or from the accept for
 /// the first request of a connection. Applies even if the client keeps sending slowly.
 const INCOMPLETE_REQUEST_TIMEOUT: Duration = Duration::from_millis(INCOMPLETE_REQUEST_TIMEOUT_MS as u64);
 /// Path of the readiness check. The status of the response says whether the limiter is ready.
--- a/limiter/src/runtime/arrival.rs
+++ b/limiter/src/runtime/arrival.rs
@@ -16,7 +16,7 @@
 /// process to that event is treated as a stall, too. Bytes that are read after a stall may have arrived at
 /// any time since the last iteration before the stall.
 const MAX_ITERATION_INTERVAL: Duration = Duration::from_millis(120);
-/// Time within which everything that arrived during a stall is read, counted from the first iteration after
+/// Time within which everything that arrived during a stall is read, measured from the first iteration after
 /// the stall.
 const CATCH_UP_TIME: Duration = Duration::from_millis(60);
 
--- a/simulator-adapter/src/convert/action.rs
+++ b/simulator-adapter/src/convert/action.rs
@@ -7,7 +7,7 @@
 use crate::hex;
 use crate::wire::action::OutboundMessage;
 
-/// Tells the simulator not to time attempts out, because the limiter bounds them with its own timers.
+/// Disables the simulator's timeout of attempts, because the limiter bounds attempts with its own timers.
 const NO_ATTEMPT_TIMEOUT_MS: Millis = 0.0;
 
 /// Returns the message that requests an action of an instance from the simulator.
--- a/soak/src/invariants/slow_start.rs
+++ b/soak/src/invariants/slow_start.rs
@@ -89,8 +89,8 @@
     }
 
     /// Returns whether more than two thirds of the requests in a window came from limiters that are
-    /// considered notified of the server's start. Otherwise, the window does not count as a violation,
-    /// because the other limiters could not know of the start.
+    /// considered notified of the server's start. Otherwise, the window is not a violation, because the other
+    /// limiters could not know of the start.
     fn is_mostly_from_notified_limiters(&self, window: &OverloadWindow, started_at: Instant) -> bool {
         let mut num_requests = 0;
         let mut num_by_notified = 0;
--- a/soak/src/server/mod.rs
+++ b/soak/src/server/mod.rs
@@ -31,7 +31,7 @@
     PartialResponse,
     /// Responds successfully, and writes the same response again some milliseconds later.
     DuplicateResponse,
-    /// Rejects each request without executing it, as a full server does.
+    /// Rejects each request without executing it, as a server at capacity does.
     Reject,
     /// Responds to each request with an error.
     Fail,
--- a/soak/src/server/respond.rs
+++ b/soak/src/server/respond.rs
@@ -22,7 +22,7 @@
 const MAX_DUPLICATE_DELAY: Duration = Duration::from_millis(7);
 /// Delay between a partial response and the reset of its connection.
 const PARTIAL_RESPONSE_RESET_DELAY: Duration = Duration::from_millis(5);
-/// The response of a full server, which proves that the request was not executed.
+/// The response of a server at capacity, which proves that the request was not executed.
 const REJECTION: &str = "HTTP/1.1 503 Busy\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n";
 /// The response of a failing server.
 const ERROR: &str = "HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n";
@@ -106,8 +106,8 @@
         is_short && attempt.is_multiple_of(2)
     }
 
-    /// Executes a request and writes the response. Rejects the request if the server is full, and cancels the
-    /// execution if the limiter closes the connection.
+    /// Executes a request and writes the response. Rejects the request if the server is at capacity, and
+    /// cancels the execution if the limiter closes the connection.
     async fn execute(
         &self,
         connection: &mut Connection,
