--- a/fault-shim/src/connections.rs
+++ b/fault-shim/src/connections.rs
@@ -54,8 +54,8 @@
     }
 }
 
-/// Replaces the function of the C library with the same name. A connection attempt that is
-/// interrupted continues in the background.
+/// Replaces the function of the C library with the same name. A connection attempt that is interrupted
+/// continues in the background.
 ///
 /// # Safety
 /// The same as for the original function.
--- a/fault-shim/src/waits.rs
+++ b/fault-shim/src/waits.rs
@@ -25,8 +25,8 @@
     unsafe { real::epoll_wait()(fd, events, max_events, timeout) }
 }
 
-/// Replaces the function of the C library with the same name. Shifts the wall clocks by the
-/// offset of the [`FaultPlan`](crate::plan::FaultPlan).
+/// Replaces the function of the C library with the same name. Shifts the wall clocks by the offset of the
+/// [`FaultPlan`](crate::plan::FaultPlan).
 ///
 /// # Safety
 /// The same as for the original function.
--- a/limiter-core/src/quota/owner/mod.rs
+++ b/limiter-core/src/quota/owner/mod.rs
@@ -41,9 +41,9 @@
         self.decisions.remove(&key);
     }
 
-    /// Decides on a quota request and returns the reply. The reply to a duplicate contains the same
-    /// decision, with the current demand and tokens. Returns `None` if this limiter does not own the quota or
-    /// the plan is unknown.
+    /// Decides on a quota request and returns the reply. The reply to a duplicate contains the same decision,
+    /// with the current demand and tokens. Returns `None` if this limiter does not own the quota or the plan
+    /// is unknown.
     pub fn decide(&mut self, context: &Context, key: GrantKey, request: &QuotaRequest) -> Option<GrantReply> {
         let plan = context.settings.plans.get(request.quota_key().plan)?;
         let rank = owner_rank(context, request)?;
--- a/limiter-core/src/rules/attempts.rs
+++ b/limiter-core/src/rules/attempts.rs
@@ -42,8 +42,8 @@
     pub idempotency: Idempotency,
     /// Whether an earlier attempt may have been executed.
     pub may_have_executed: bool,
-    /// For how many milliseconds servers continue to drop duplicates of the request; infinite if no
-    /// attempt can have been executed or if the class uses no idempotency key.
+    /// For how many milliseconds servers continue to drop duplicates of the request; infinite if no attempt
+    /// can have been executed or if the class uses no idempotency key.
     pub dedup_ends_in_ms: Millis,
 }
 
--- a/limiter-core/tests/properties/network.rs
+++ b/limiter-core/tests/properties/network.rs
@@ -148,8 +148,7 @@
         Ok(())
     }
 
-    /// Advances the clock in short steps. Gossip messages that are sent within this time arrive
-    /// at its end.
+    /// Advances the clock in short steps. Gossip messages that are sent within this time arrive at its end.
     fn advance(&mut self, ms: u16) -> Result<(), TestCaseError> {
         let mut in_transit = Vec::new();
         for _ in 0..ms / STEP_MS {
--- a/limiter/tests/client_disconnects.rs
+++ b/limiter/tests/client_disconnects.rs
@@ -81,8 +81,8 @@
     }
 }
 
-/// Races a client with this behaviour against a server that closes or resets the
-/// connection of the first attempt.
+/// Races a client with this behaviour against a server that closes or resets the connection of the first
+/// attempt.
 fn race_with_failed_attempt(behaviour: ClientBehaviour, is_reset: bool) -> RaceOutcome {
     let gate = Gate::default();
     let respond = hold_first_request_at_gate(&gate, move |stream| {
@@ -169,17 +169,17 @@
     }
 }
 
-/// The order in which a client with two pipelined requests disconnects and a server
-/// responds to the first one.
+/// The order in which a client with two pipelined requests disconnects and a server responds to the first
+/// one.
 #[derive(Clone, Copy, Debug)]
 enum DisconnectOrder {
     /// The limiter detects the disconnect before the server responds.
     DisconnectDetectedBeforeResponse,
-    /// The client disconnects before the server responds. The limiter is stopped and
-    /// sees both events together.
+    /// The client disconnects before the server responds. The limiter is stopped and sees both events
+    /// together.
     DisconnectBeforeResponseDuringStall,
-    /// The server responds before the client disconnects. The limiter is stopped and
-    /// sees both events together.
+    /// The server responds before the client disconnects. The limiter is stopped and sees both events
+    /// together.
     ResponseBeforeDisconnectDuringStall,
 }
 
--- a/limiter/tests/disconnect_detection.rs
+++ b/limiter/tests/disconnect_detection.rs
@@ -73,8 +73,8 @@
     assert!(server.received_requests().is_empty(), "{case}: a request was forwarded");
 }
 
-/// Returns a connection on which a response has arrived that the client has not read. Closing
-/// the connection resets it.
+/// Returns a connection on which a response has arrived that the client has not read. Closing the connection
+/// resets it.
 fn client_with_unread_response(limiter: &LimiterProcess) -> TcpStream {
     let client = limiter.send(READINESS_REQUEST);
     retry_on_interrupt(|| client.peek(&mut [0])).expect("a response that remains unread");
--- a/limiter/tests/endpoint_list.rs
+++ b/limiter/tests/endpoint_list.rs
@@ -100,8 +100,8 @@
     assert_eq!(limiter.discovery.num_watch_requests(), 1, "a list was not parsed on the first watch");
 }
 
-/// Adds a line break and spaces after each comma and opening brace, and a line break
-/// before each closing brace.
+/// Adds a line break and spaces after each comma and opening brace, and a line break before each closing
+/// brace.
 fn indent(list: &str) -> String {
     list.replace(',', ",\n    ").replace('{', "{\n  ").replace('}', "\n}")
 }
@@ -110,8 +110,8 @@
 /// entries while all of them are being replaced.
 const MAX_LISTED_SERVERS: usize = 6400;
 
-/// Discovery sends the complete list of the largest fleet, indented, which is the largest text that
-/// the limiter has to buffer.
+/// Discovery sends the complete list of the largest fleet, indented, which is the largest text that the
+/// limiter has to buffer.
 #[test]
 fn the_indented_list_of_the_largest_fleet_is_parsed() {
     let server = StubServer::responding_with("fine");
--- a/limiter/tests/stubs/client.rs
+++ b/limiter/tests/stubs/client.rs
@@ -60,8 +60,8 @@
 ///
 /// # Panics
 ///
-/// Panics if the connection is closed before the response is complete, or nothing is
-/// received for [`WAIT_TIMEOUT`].
+/// Panics if the connection is closed before the response is complete, or nothing is received for
+/// [`WAIT_TIMEOUT`].
 pub fn read_response(stream: &mut TcpStream) -> HttpMessage {
     stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("a read timeout");
     read_message(stream).expect("a complete response")
--- a/limiter/tests/stubs/disconnecting_client.rs
+++ b/limiter/tests/stubs/disconnecting_client.rs
@@ -174,8 +174,8 @@
     }
 }
 
-/// Shuts the limiter down, and returns the correlation ids of all requests that the
-/// servers have received, sorted.
+/// Shuts the limiter down, and returns the correlation ids of all requests that the servers have received,
+/// sorted.
 ///
 /// # Panics
 ///
--- a/limiter/tests/stubs/discovery.rs
+++ b/limiter/tests/stubs/discovery.rs
@@ -10,8 +10,8 @@
 
 /// The text that a watch sends while the endpoint list does not change.
 pub const HEARTBEAT: &str = "\n";
-/// Time between two heartbeats of a watch, in milliseconds. The limiter reopens a watch
-/// that is silent for 2.5 s.
+/// Time between two heartbeats of a watch, in milliseconds. The limiter reopens a watch that is silent for
+/// 2.5 s.
 const HEARTBEAT_INTERVAL_MS: u64 = 500;
 
 /// State that a stub shares with its threads.
@@ -44,8 +44,8 @@
             let Ok(mut stream) = stream else { continue };
             let Ok(request) = read_message(&mut stream) else { continue };
             self.num_watch_requests.fetch_add(1, Ordering::SeqCst);
-            // The lock is taken before the flag is read, so that no request is added
-            // after the stub has resumed.
+            // The lock is taken before the flag is read, so that no request is added after the stub has
+            // resumed.
             let mut unanswered_streams = lock(&self.unanswered_streams);
             if self.is_unresponsive.load(Ordering::SeqCst) {
                 unanswered_streams.push(stream);
--- a/limiter/tests/stubs/limiter_process/start.rs
+++ b/limiter/tests/stubs/limiter_process/start.rs
@@ -27,8 +27,8 @@
         LimiterProcess::with_server(server, |configuration| configuration)
     }
 
-    /// Starts a limiter with an altered configuration in front of one server, s-1, and returns
-    /// when the limiter is ready.
+    /// Starts a limiter with an altered configuration in front of one server, s-1, and returns when the
+    /// limiter is ready.
     pub fn with_server(
         server: &StubServer,
         alter: impl Fn(Configuration) -> Configuration,
--- a/limiter/tests/stubs/server.rs
+++ b/limiter/tests/stubs/server.rs
@@ -27,8 +27,8 @@
 }
 
 impl StubServer {
-    /// Starts a server. `respond` answers each request on its connection, and returns whether
-    /// the connection stays open.
+    /// Starts a server. `respond` answers each request on its connection, and returns whether the connection
+    /// stays open.
     ///
     /// # Panics
     ///
--- a/limiter/tests/stubs/server_with_full_backlog.rs
+++ b/limiter/tests/stubs/server_with_full_backlog.rs
@@ -51,8 +51,8 @@
     }
 }
 
-/// Returns a listener with a backlog of one connection. The standard library cannot set
-/// the length of a backlog.
+/// Returns a listener with a backlog of one connection. The standard library cannot set the length of a
+/// backlog.
 fn listener_with_smallest_backlog() -> TcpListener {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     let listener = runtime.block_on(async {
