--- a/limiter-core/src/quota/retention.rs
+++ b/limiter-core/src/quota/retention.rs
@@ -10,8 +10,9 @@
 /// Retention of an unused quota as a multiple of the time in which its buckets refill from empty. Grants
 /// overdraw the bucket of the rate quota by one burst at most, so the bucket is full again after two refills,
 /// as the bucket of a new quota is: no customer gains units because its quota was dropped. The exceptions are
-/// a settlement that overdrew the bucket further, and a retention that was shortened. The bucket of a ceiling
-/// starts as if spent, so a customer gains nothing either if its ceiling was dropped.
+/// a settlement that overdrew the bucket further, and a retention that was shortened. The same holds for the
+/// bucket of a ceiling, which is overdrawn by the slack at most: a new one refills from the start of the
+/// limiter on, not from the creation of the quota, so it is full as well once the limiter has run for long.
 const REFILL_RETENTION_FACTOR: f64 = 2.0;
 /// Number of quotas, about 3 MB of memory, up to which each is retained for its full time. Beyond that number
 /// the retention becomes shorter in proportion: a flood of new customers must not exhaust the memory.
